--- a/reachlink/requests/_book.py
+++ b/reachlink/requests/_book.py
@@ -1,4 +1,4 @@
-"""What an entry instance knows of each replica's load and health."""
+"""Load and health of each replica, as far as an entry instance knows them."""
 
 import zlib
 from collections import deque
@@ -19,57 +19,58 @@
 from reachlink.scheduling import PaceBook
 from reachlink.upstreams import LoadSample
 
-# A load sample says little after this many seconds.
+# Age in seconds beyond which a load sample is ignored as out of date.
 SAMPLE_KEPT_S = 1.0
-# Memory in use, as a report tells it, says little after this many seconds.
+# Age in seconds beyond which the used memory of a report is ignored as out of date.
 REPORT_KEPT_S = 1.0
-# What a coordinator says of a replica's health counts for this long, in seconds: it
-# says so about once a second.
+# How long the allowance that a coordinator sent for a replica is valid, in seconds.
+# Coordinators send it about once a second.
 ALLOWANCE_KEPT_S = 2.5
-# Outcomes that are kept until a coordinator is told; with one request a second and
-# a telling a second, one or two.
+# Maximum number of outcomes queued for the next message to a coordinator. With one request
+# and one message per second, the queue holds one or two.
 MAX_OUTCOMES = 64
 
 
 @dataclass(slots=True, eq=False)
 class Flight:
-    """A request of this instance, or a copy of its memory, at a replica.
+    """Memory of a replica that a request of this instance, or a copy of its memory, takes.
 
-    It is one of three: a request (`copy` false), a shadow, or a backup (both
-    with `copy` true). A request that moves gets a new flight at its new replica.
+    It belongs to a running request (`copy` is false), or to a shadow copy or a backup
+    (`copy` is true). A request that moves gets a new allocation at its new replica.
 
     Attributes
     ----------
     request_id : str
-        The request.
+        Identifier of the request.
     tokens : int
-        Memory that it is expected to need at its end, in tokens; grows where a
-        generation outlives what was expected.
+        Memory that it is expected to need when it ends, in tokens; increases if a
+        generation gets longer than expected.
     unread_tokens : int
-        Prompt that the replica still has to read, in tokens; 0 from the first
-        event on, and for copies.
+        Part of the prompt that the replica has not processed yet, in tokens; 0 after the
+        first event, and for copies.
     used_tokens : int
-        Memory that it takes now, in tokens; grows with each event.
+        Memory that it takes now, in tokens; increases with each event.
     copy : bool
-        Whether only a copy of the memory is there; fixed.
+        Whether it holds only a copy of the memory; never changes.
     gives_way : bool
-        Whether it is a shadow that is freed where others need the room. Set when
-        the shadow is begun for a home that stays; unset for good when the home
-        leaves (`ReplicaBook.hold`). Never set for requests and backups.
+        Whether it is a shadow copy that is evicted when others need its memory. Set when
+        the shadow copy is started while the primary stays; cleared permanently when the
+        primary leaves (`ReplicaBook.hold`). Never set for requests and backups.
     arriving : bool
-        Whether it is a shadow whose first move has not ended. Set when the
-        shadow is begun, unset at the first look after the move.
+        Whether it is a shadow copy whose first transfer has not ended. Set when the
+        shadow copy is started, cleared at the first check after the transfer.
     uncovered : bool
-        Whether it is a running generation that no other replica has a copy of,
-        and long enough to be copied away. Set anew at each look.
+        Whether it is a running generation that no other replica has a copy of, and that
+        is long enough to be copied before its replica leaves. Updated at each check.
     stake : int
-        What would be lost with the generation (`Outlook.stake`); set anew at
-        each look.
+        Work that is lost if the generation is lost, weighted by risk (`Outlook.stake`);
+        updated at each check.
     joins_at : float, optional
-        When the generation is expected to go on here, from a home that leaves, in
-        monotonic seconds. Only for copies.
+        Monotonic time in seconds at which the generation is expected to resume here
+        because its primary leaves. Only for copies.
     body_bytes : int
-        Size of its body, which the replica holds as long as it is there; 0 for copies.
+        Size of the request body, in bytes, which the replica holds until the request ends;
+        0 for copies.
     """
 
     request_id: str
@@ -86,30 +87,36 @@
 
     @property
     def note(self) -> MemoryNote:
-        """What the other instances are told of its memory."""
+        """Summary of this allocation that is sent to the other instances."""
         key = zlib.crc32(self.request_id.encode())
         return MemoryNote(key=key, tokens=self.used_tokens, stake=self.stake)
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """Knowledge of one replica.
+    """Load and health of one replica.
 
     Attributes
     ----------
     flights : set of Flight
-        This instance's own requests there.
+        Allocations of this instance's own requests at the replica.
     health : Health
-        Trust in it.
+        Health that follows from the outcomes of requests.
     report : ReplicaNews, optional
-        What its report said last, read at monotonic time `reported_at` here or elsewhere.
+        Last load report of the replica, which this or another instance read.
+    reported_at : float
+        Monotonic time in seconds at which `report` was read.
     sample : LoadSample, optional
-        Load that it told last, at monotonic time `sampled_at`.
+        Last load sample that the replica sent with an answer.
+    sampled_at : float
+        Monotonic time in seconds at which `sample` was received.
     own_at_sample : int
-        How many flights this instance had there then.
+        Number of this instance's running requests at the replica at `sampled_at`.
     told_allowance : float
-        Share of its usual load that it may get by what a coordinator said at
-        monotonic time `told_at`.
+        Share of its usual load, from 0 to 1, that the replica may get according to a
+        coordinator.
+    told_at : float
+        Monotonic time in seconds at which `told_allowance` was received.
     """
 
     flights: set[Flight] = field(default_factory=set)
@@ -124,62 +131,63 @@
 
     @property
     def own_tokens(self) -> int:
-        """Memory that own requests need at their end, in tokens, without copies that give way."""
+        """Memory that own requests need when they end, in tokens, without evictable copies."""
         return sum(flight.tokens for flight in self.flights if not flight.gives_way)
 
     @property
     def own_used_tokens(self) -> int:
-        """Memory that own requests take now, in tokens, without copies that give way."""
+        """Memory that own requests take now, in tokens, without evictable copies."""
         return sum(flight.used_tokens for flight in self.flights if not flight.gives_way)
 
     @property
     def own_copies(self) -> tuple[MemoryNote, ...]:
-        """This instance's own copies that give way."""
+        """Summaries of this instance's own evictable copies."""
         return tuple(flight.note for flight in self.flights if flight.gives_way)
 
     @property
     def own_unread_tokens(self) -> int:
-        """Prompts of this instance's own requests that are still to be read, in tokens."""
+        """Unprocessed prompt tokens of this instance's own requests."""
         return sum(flight.unread_tokens for flight in self.flights)
 
     @property
     def own_uncovered(self) -> tuple[MemoryNote, ...]:
-        """This instance's own generations that no other replica has a copy of."""
+        """Summaries of this instance's own generations that no other replica has a copy of."""
         return tuple(flight.note for flight in self.flights if flight.uncovered)
 
     @property
     def own_arriving(self) -> int:
-        """How many of this instance's copies are on their way."""
+        """Number of this instance's copies whose first transfer has not ended."""
         return sum(1 for flight in self.flights if flight.arriving)
 
     @property
     def own_running(self) -> int:
-        """How many requests of this instance are there."""
+        """Number of requests of this instance at the replica, without copies."""
         return sum(1 for flight in self.flights if not flight.copy)
 
     @property
     def answered_at(self) -> float:
-        """When it answered this zone last, be it with a report; monotonic seconds."""
+        """Monotonic time in seconds of its last report or load sample, whichever is later."""
         return max(self.reported_at, self.sampled_at)
 
     def own_join_at(self, now: float) -> float | None:
-        """Return when the next of this instance's generations joins, in monotonic seconds."""
+        """Return the monotonic time at which the next of this instance's generations resumes."""
         times = [f.joins_at for f in self.flights if f.joins_at is not None]
         return min((at for at in times if at + JOIN_SETTLES_S > now), default=None)
 
     def allowance_told(self, now: float) -> float:
-        """Return the share of its usual load that it may get by what a coordinator said."""
+        """Return the coordinator's allowance, or 1.0 if there is none or it is out of date."""
         return self.told_allowance if now - self.told_at < ALLOWANCE_KEPT_S else 1.0
 
     def running(self, now: float, told: int) -> int:
-        """Return how many requests are likely there, waiting ones included.
+        """Return an estimate of the number of requests there, including waiting ones.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         told : int
-            What all entry instances, this one included, have there.
+            Number of requests that all entry instances, including this one, have there
+            according to their messages.
         """
         if self.sample is None or now - self.sampled_at > SAMPLE_KEPT_S:
             return told
@@ -187,13 +195,13 @@
         return max(told, self.own_running + others)
 
     def has_waiting(self, now: float) -> bool:
-        """Return whether requests waited there by what it told lately."""
+        """Return whether a recent load sample of the replica showed waiting requests."""
         if self.sample is None or now - self.sampled_at > SAMPLE_KEPT_S:
             return False
         return self.sample.waiting > 0
 
     def share(self, name: str, now: float) -> ReplicaShare:
-        """Return this instance's own requests there, at the replica of that name."""
+        """Return this instance's usage of the replica, which has the given name."""
         return ReplicaShare(
             replica=name,
             running=self.own_running,
@@ -207,37 +215,37 @@
         )
 
     def reported_tokens(self, now: float) -> int:
-        """Return the memory that was in use by a report that is not too old, in tokens."""
+        """Return the used memory in tokens by the last report; 0 if it is out of date."""
         if self.report is None or now - self.reported_at > REPORT_KEPT_S:
             return 0
         return self.report.kv_used_tokens
 
     def take_report(self, news: ReplicaNews, read_at: float) -> bool:
-        """Note what a report said; return whether it is newer than what is known."""
+        """Store a report; return whether it is newer than the stored one."""
         if read_at <= self.reported_at:
             return False
         self.report, self.reported_at = news, read_at
         return True
 
     def news(self, now: float) -> ReplicaNews | None:
-        """Return what its report said last, with its age as of now."""
+        """Return the last report of the replica with its age as of now."""
         if self.report is None:
             return None
         return msgspec.structs.replace(self.report, age_s=round(now - self.reported_at, 3))
 
     def take_sample(self, sample: LoadSample, now: float) -> None:
-        """Note the load that the replica told."""
+        """Store a load sample that the replica sent."""
         self.sample, self.sampled_at = sample, now
         self.own_at_sample = self.own_running
 
 
 class ReplicaBook:
-    """States of all replicas by name.
+    """Keeps the states of all replicas by name.
 
     Parameters
     ----------
     paces : PaceBook, optional
-        What is believed of their pace; a new one where it is missing.
+        Estimates of the replicas' pace; by default a new, empty one.
     """
 
     def __init__(self, paces: PaceBook | None = None) -> None:
@@ -248,18 +256,18 @@
 
     @property
     def paces(self) -> PaceBook:
-        """What is believed of the replicas' pace."""
+        """Estimates of the replicas' pace."""
         return self._paces
 
     def state(self, name: str) -> ReplicaState:
-        """Return the state of a replica, a fresh one where it is new."""
+        """Return the state of a replica, creating it for an unknown replica."""
         found = self._states.get(name)
         if found is None:
             found = self._states[name] = ReplicaState()
         return found
 
     def note_outcome(self, outcome: ReplicaOutcome, now: float, random: Random) -> None:
-        """Note how a request went at a replica, here or at an instance that tells."""
+        """Apply the outcome of a request of this or another instance to a replica's health."""
         health = self.state(outcome.replica).health
         if outcome.good:
             health.on_success(now)
@@ -267,66 +275,66 @@
             health.on_failure(now, random, outcome.answered)
 
     def keep_outcome(self, outcome: ReplicaOutcome) -> None:
-        """Keep an outcome of an own request for the next note to a coordinator."""
+        """Queue the outcome of an own request for the next message to a coordinator."""
         self._outcomes.append(outcome)
 
     def take_outcomes(self) -> list[ReplicaOutcome]:
-        """Return the outcomes that no note had so far."""
+        """Return the queued outcomes and clear the queue."""
         outcomes = list(self._outcomes)
         self._outcomes.clear()
         return outcomes
 
     def add(self, replica: str, flight: Flight) -> None:
-        """Note that a request, or a copy of it, is at a replica."""
+        """Add the allocation of a request or a copy to a replica."""
         self.state(replica).flights.add(flight)
         self.touch()
 
     def remove(self, replica: str, flight: Flight) -> None:
-        """Note that it is there no more."""
+        """Remove an allocation from a replica."""
         self.state(replica).flights.discard(flight)
         self.touch()
 
     def has_read(self, flight: Flight) -> None:
-        """Note that the replica has read a request's prompt."""
+        """Record that the replica has processed a request's prompt."""
         if flight.unread_tokens:
             flight.unread_tokens = 0
             self.touch()
 
     def start_again(self, replica: str) -> None:
-        """Forget what a replica showed in its life before; own requests stay."""
+        """Reset the state of a replica that has restarted, except for its allocations."""
         before = self._states.get(replica)
         if before is not None:
             self._states[replica] = ReplicaState(flights=before.flights)
         self._paces.start_again(replica)
 
     def touch(self) -> None:
-        """Note that there is something that the others should know soon."""
+        """Call the listeners: something changed that other instances should learn soon."""
         for listener in self._listeners:
             listener()
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Have something called with every change that the others should know soon."""
+        """Add a callback for changes that other instances should learn soon."""
         self._listeners.append(listener)
 
     def forget_gone(self, known: Container[str]) -> None:
-        """Drop what is known of replicas that are not there and carry nothing."""
+        """Drop the states of replicas that are not in `known` and have no allocations."""
         gone = [n for n, s in self._states.items() if n not in known and not s.flights]
         for name in gone:
             del self._states[name]
         self._paces.forget_gone(known)
 
     def carrying(self) -> list[str]:
-        """Return the replicas that have requests of this instance with memory."""
+        """Return the replicas at which this instance's allocations take memory."""
         return [name for name, state in self._states.items() if state.own_tokens]
 
     def hold(self, flight: Flight) -> None:
-        """Note that a copy gives way no longer."""
+        """Record that a copy is no longer evictable."""
         if flight.gives_way:
             flight.gives_way = False
             self.touch()
 
     def shares(self, now: float) -> list[ReplicaShare]:
-        """Return this instance's own requests at model engines, as of a monotonic time."""
+        """Return this instance's usage of each model engine, as of a monotonic time."""
         return [
             state.share(name, now)
             for name, state in self._states.items()
@@ -335,5 +343,5 @@
 
 
 def time_until(at: float | None, now: float) -> float | None:
-    """Return the time until a moment, in seconds; both in monotonic seconds."""
+    """Return the time from `now` until `at` in seconds; both are monotonic times."""
     return None if at is None else round(at - now, 3)
--- a/reachlink/requests/_cold_rates.py
+++ b/reachlink/requests/_cold_rates.py
@@ -1,28 +1,32 @@
-"""How many requests this instance may send to a replica that is cold; pure.
+"""Rate limit for requests of this instance to a cold replica.
 
-A cold replica bears some requests a second, those of all instances together, and falls
-over at well above that. The instances that decide share that number beforehand, so that
-it holds while some are cut off, start, or do not hear of each other:
+A cold replica sustains a certain rate of requests from all instances together and fails
+at rates well above it. The instances that choose replicas divide this rate in advance, so
+that the total limit holds while some of them are partitioned, are starting, or have not
+heard of each other:
 
-- the coordinators split `COORDINATED_PART` of it exactly, the remainder going to those
-  that a hash of both names puts first;
-- an instance that decides though it is no coordinator takes its expected part of
-  `ALONE_PART`, or of `COORDINATED_PART` where there is nobody to ask: most take none, and
-  a hash of both names draws those that take one.
+- The coordinators split `COORDINATED_PART` of the rate exactly. The remainder goes to
+  those with the lowest hashes of instance and replica name.
+- An instance that chooses replicas without being a coordinator gets its expected part of
+  `ALONE_PART`, or of `COORDINATED_PART` if there is no coordinator to ask. The part is
+  rounded to an integer pseudorandomly by a hash of both names; most instances get none.
 
-Three sides of a cut that know nothing of each other come to 3 x 0.4 + 0.2 = 1.4 of what
-the replica bears, below the 1.5 that deployments allow.
+Three sides of a network partition that don't know of each other send at most
+3 x 0.4 + 0.2 = 1.4 of the rate, below the 1.5 that deployments allow.
+
+This module does no input or output.
 """
 
 import hashlib
 from collections import deque
 from dataclasses import dataclass
 
-# Parts of what a cold replica bears; see above.
+# Fractions of the rate that a cold replica sustains; see the module docstring.
 COORDINATED_PART = 0.4
 ALONE_PART = 0.2
-# In which time these many requests are counted, in seconds: the second that the number
-# is meant for, and by how much two requests can come closer to each other on their way.
+# Length of the sliding window in which requests are counted, in seconds: the second to which
+# the limit applies, plus the amount by which network delays can move two requests closer
+# together.
 WINDOW_S = 1.2
 _HASH_BYTES = 8
 
@@ -34,11 +38,11 @@
     Attributes
     ----------
     name : str
-        This instance.
+        Name of this instance.
     coordinators : tuple of str
-        The instances that coordinate placement; empty where that is not known.
+        Names of the instances that coordinate placement; empty if unknown.
     instances : int
-        How many entry instances there are.
+        Number of entry instances.
     """
 
     name: str
@@ -52,23 +56,28 @@
 
     @property
     def all_coordinate(self) -> bool:
-        """Whether there is no instance besides the coordinators."""
+        """Whether every instance is a coordinator."""
         return self.coordinates and len(self.coordinators) >= self.instances
 
 
 def share_of(replica: str, bears_per_s: float, deciders: Deciders, asked: bool) -> int:
-    """Return how many requests this instance may send to a cold replica in `WINDOW_S`.
+    """Return the number of requests that this instance may send to a cold replica per window.
 
     Parameters
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     bears_per_s : float
-        Requests a second that it bears, those of all instances together.
+        Rate that the replica sustains, in requests per second of all instances together.
     deciders : Deciders
-        Who chooses replicas.
+        Instances that choose replicas.
     asked : bool
-        Whether coordinators are asked about its service.
+        Whether coordinators choose the replicas of its service.
+
+    Returns
+    -------
+    int
+        Maximum number of requests in `WINDOW_S`.
     """
     if deciders.all_coordinate or (asked and deciders.coordinates):
         return _exact_share(replica, int(bears_per_s * COORDINATED_PART), deciders)
@@ -77,7 +86,7 @@
 
 
 def _exact_share(replica: str, total: int, deciders: Deciders) -> int:
-    """Return this coordinator's part of a number that all of them split."""
+    """Return this coordinator's part of a total that the coordinators split exactly."""
     each, rest = divmod(total, len(deciders.coordinators))
     own = _hash(deciders.name, replica)
     before = sum(_hash(name, replica) < own for name in deciders.coordinators)
@@ -85,7 +94,10 @@
 
 
 def _drawn_share(replica: str, total: float, deciders: Deciders) -> int:
-    """Return this instance's part of a number, rounded by a draw that it alone knows."""
+    """Return this instance's expected part of a total, rounded pseudorandomly.
+
+    The hash of both names decides the rounding, so that no communication is needed.
+    """
     each, rest = divmod(total / max(1, deciders.instances), 1.0)
     return int(each) + (_hash(deciders.name, replica) < rest * 256**_HASH_BYTES)
 
@@ -96,23 +108,23 @@
 
 
 class ColdRates:
-    """Counts what this instance sends to cold replicas."""
+    """Counts the requests that this instance sends to cold replicas in a sliding window."""
 
     def __init__(self) -> None:
         self._sent: dict[str, deque[float]] = {}
 
     def may_send(self, replica: str, share: int, now: float) -> bool:
-        """Return whether another request may go to a cold replica at a monotonic time."""
+        """Return whether one more request may be sent to a cold replica at a monotonic time."""
         return len(self._recent(replica, now)) < share
 
     def note_sent(self, replica: str, now: float) -> None:
-        """Note that a request goes to a cold replica."""
+        """Count a request that is sent to a cold replica."""
         for name in list(self._sent):
             self._recent(name, now)
         self._sent.setdefault(replica, deque()).append(now)
 
     def _recent(self, replica: str, now: float) -> deque[float]:
-        """Return when requests were sent within the window; forget a replica without any."""
+        """Return the times of the requests in the window; drop a replica without any."""
         sent = self._sent.get(replica, deque())
         while sent and now - sent[0] > WINDOW_S:
             sent.popleft()
--- a/reachlink/requests/_cold_replicas.py
+++ b/reachlink/requests/_cold_replicas.py
@@ -1,4 +1,4 @@
-"""Keeps requests from replicas that are cold and have had what they bear."""
+"""Excludes cold replicas that have reached their rate limit."""
 
 from reachlink.requests._cold_rates import ColdRates, share_of
 from reachlink.requests._parts import RunnerParts
@@ -6,12 +6,12 @@
 
 
 class ColdReplicas:
-    """Says which cold replicas may not get another request of this instance now.
+    """Determines which cold replicas may not get another request of this instance now.
 
     Parameters
     ----------
     parts : RunnerParts
-        Knows the replicas, how long they are cold, and who else decides.
+        Provides the replicas, how long they are cold, and the instances that choose replicas.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
@@ -19,7 +19,7 @@
         self._rates = ColdRates()
 
     def full(self, service: Service) -> list[str]:
-        """Return the replicas of a service that may get no other request now."""
+        """Return the cold replicas of a service that have reached their rate limit."""
         bears = service.cold_requests_per_s
         if not bears:
             return []
@@ -35,7 +35,7 @@
         return [name for name in cold if not self._rates.may_send(name, shares[name], now)]
 
     def note_sent(self, replica: str) -> None:
-        """Note a request that is about to go to a replica, if it is cold."""
+        """Count a request that is about to be sent to a replica, if the replica is cold."""
         now = self._parts.clock()
         if self._parts.directory.cold_s(replica, now):
             self._rates.note_sent(replica, now)
--- a/reachlink/requests/_copy_order.py
+++ b/reachlink/requests/_copy_order.py
@@ -1,4 +1,4 @@
-"""Which copies of generations make room, and which generations are copied first."""
+"""Decisions on which copies are evicted, and which generations are evacuated first."""
 
 from reachlink.requests._book import Flight
 from reachlink.requests._parts import RunnerParts
@@ -6,25 +6,25 @@
 from reachlink.routing import Service
 from reachlink.upstreams import Replica
 
-# How long after a replica's notice its generations go first, in seconds: about as long as
-# notices are.
+# How long after a replica's shutdown notice its generations have priority for copies, in
+# seconds: about the length of a notice.
 EVACUATION_S = 2.0
 
 
 class CopyOrder:
-    """Orders copies by what this instance knows of all of them.
+    """Decides on evictions and evacuations by this instance's information on all copies.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
 
     def evacuating(self, service: Service) -> bool:
-        """Return whether generations have yet to be copied away from a leaving replica."""
+        """Return whether a leaving replica still has generations without a copy."""
         parts = self._parts
         now = parts.clock()
         leaving = parts.directory.leaving(service.name, now - EVACUATION_S)
@@ -34,7 +34,7 @@
         )
 
     def must_give_way(self, service: Service, replica: Replica, flight: Flight) -> bool:
-        """Return whether a copy of this instance has to make room at its replica."""
+        """Return whether a copy of this instance has to be evicted from its replica."""
         if service.engine is None:
             return False
         parts = self._parts
@@ -48,7 +48,7 @@
         )
 
     def evacuation_rank(self, replica: Replica, flight: Flight) -> int:
-        """Return how many generations should be copied away from a replica before one."""
+        """Return the number of generations to evacuate from a replica before the given one."""
         parts = self._parts
         others = parts.shared.at(replica.name, parts.clock())
         own = parts.book.state(replica.name).own_uncovered
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -1,46 +1,46 @@
-"""Where copies of one generation's memory may go."""
+"""Choice of replicas for copies of one generation's memory."""
 
 from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._place_question import Purpose
 from reachlink.upstreams import Replica
 
-# How long a generation orders no copy at a replica that has refused one or where
-# its copy had to give way, in seconds: about what it takes until the others know.
+# How long a replica that refused or evicted a generation's copy is avoided by the generation,
+# in seconds: about the time until the other instances know of the lack of room.
 NO_ROOM_S = 0.4
 
 
 class CopyTargets:
-    """Chooses replicas for copies of one generation, and remembers which have no room.
+    """Chooses replicas for copies of one generation, avoiding those without room.
 
     Parameters
     ----------
     dispatch : Dispatch
         Chooses replicas.
     request : CallerRequest
-        Request that the generation serves.
+        Request of the generation.
     """
 
     def __init__(self, dispatch: Dispatch, request: CallerRequest) -> None:
         self._dispatch = dispatch
         self._placing = dispatch.placing
         self._request = request
-        # Until when each replica is not asked to take a copy, in monotonic seconds.
+        # Monotonic time in seconds until which each replica is avoided.
         self._avoided_until: dict[str, float] = {}
 
     def avoid(self, replica: Replica) -> None:
-        """Order no copy at a replica for a while."""
+        """Avoid a replica for `NO_ROOM_S` seconds."""
         self._avoided_until[replica.name] = self._dispatch.now() + NO_ROOM_S
 
     async def standing(self, home: Replica, excluded: set[str], used_tokens: int) -> Replica | None:
-        """Return where a copy should go while the home stays, if anywhere.
+        """Return the replica for a copy while the primary stays, if there is one.
 
         Parameters
         ----------
         home : Replica
-            Where the generation runs.
+            Replica at which the generation runs.
         excluded : set of str
-            Replicas that it must not go to, besides the home.
+            Names of replicas that must not be chosen, besides the primary.
         used_tokens : int
             Memory that the generation takes now, in tokens.
         """
@@ -49,8 +49,8 @@
         return await self._place(home, excluded, used_tokens, purpose)
 
     async def rescue(self, home: Replica, excluded: set[str], used_tokens: int) -> Replica | None:
-        """Return where a copy should go from a home that leaves, if anywhere."""
-        # Time is short, and within the replica's zone a copy takes half of it.
+        """Return the replica for a copy from a leaving primary, if there is one."""
+        # Time is short, and a transfer within the zone takes half as long as to another zone.
         zone = home.availability_zone
         return await self._place(home, excluded, used_tokens, Purpose.RESCUE, zone)
 
--- a/reachlink/requests/_departures.py
+++ b/reachlink/requests/_departures.py
@@ -1,37 +1,38 @@
-"""When the replicas that leave will be gone; pure.
+"""Estimates of when leaving replicas are shut down.
 
-A replica that leaves gives a notice first. How long the notice is differs, and a
-report may tell the time that is left, as of when the report was made. Both the
-usual notice and the age of a report are learned from the departures seen.
+A replica announces its shutdown in advance. The length of this shutdown notice varies. A
+load report may contain the remaining time as of its creation. The usual length of a notice
+and the usual age of a report are learned from observed shutdowns. This module does no input
+or output.
 """
 
 from dataclasses import dataclass
 
-# Expected length of a notice before there was one, in seconds.
+# Expected length of a shutdown notice before the first shutdown was observed, in seconds.
 NOTICE_S = 1.8
-# Expected age of a report when it is read, before it was learned, in seconds.
+# Expected age of a report when it is read, before the first shutdown was observed, in seconds.
 REPORT_AGE_S = 0.5
-# Weight from 0 to 1 of the newest departure in what is learned: some four count.
+# Weight of the latest shutdown in the moving averages, from 0 to 1: about four shutdowns count.
 NEWEST = 0.25
-# A departure further than this from what was expected is none, in seconds: the
-# replica crashed, or the connection to it was cut.
+# Maximum deviation of a shutdown from its expected time, in seconds. Beyond it, the replica
+# crashed or the connection to it failed, and nothing is learned.
 PLAUSIBLE_S = 1.0
-# How long a departure is remembered, in seconds.
+# How long a leaving replica is remembered, in seconds.
 KEPT_S = 30.0
 
 
 @dataclass(slots=True)
 class _Departure:
-    """One replica that leaves; times are monotonic, in seconds.
+    """One leaving replica; times are monotonic, in seconds.
 
     Attributes
     ----------
     noticed_at : float
-        When it was found to leave.
+        Time at which the replica was first found to be leaving.
     told_at : float, optional
-        When it will be gone, counted from the moment its report was read.
+        Time of its shutdown, as if its report had been created when it was read.
     gone : bool
-        Whether it is gone, and what was learned from it.
+        Whether the replica is gone and the estimates have been updated.
     """
 
     noticed_at: float
@@ -40,7 +41,7 @@
 
 
 class Departures:
-    """Estimates when each leaving replica will be gone.
+    """Estimates when each leaving replica is shut down.
 
     Examples
     --------
@@ -63,28 +64,28 @@
         self._report_age_s = REPORT_AGE_S
 
     def notice(self, name: str, now: float) -> None:
-        """Note that a replica leaves, where that is news."""
+        """Record that a replica is leaving, unless that is known already."""
         if name in self._known:
             return
         self._known = {n: d for n, d in self._known.items() if now - d.noticed_at < KEPT_S}
         self._known[name] = _Departure(now)
 
     def report(self, name: str, read_at: float, leaves_in_s: float) -> None:
-        """Note the time left that a report told, as of when the report was made."""
+        """Record the remaining time in a report, which counts from the report's creation."""
         self.notice(name, read_at)
         self._known[name].told_at = read_at + leaves_in_s
 
     def forget(self, name: str) -> None:
-        """Forget the departure of a replica that has started again."""
+        """Forget the shutdown notice of a replica that has restarted."""
         self._known.pop(name, None)
 
     def told(self, name: str) -> bool:
-        """Return whether a report has told when a replica will be gone."""
+        """Return whether a report of the replica contained its shutdown time."""
         departure = self._known.get(name)
         return departure is not None and departure.told_at is not None
 
     def expected(self, name: str) -> float | None:
-        """Return when a replica will be gone, in monotonic seconds; None where it stays."""
+        """Return the expected monotonic time in seconds of a shutdown; None if not leaving."""
         departure = self._known.get(name)
         if departure is None:
             return None
@@ -93,7 +94,7 @@
         return departure.noticed_at + self._notice_s
 
     def gone(self, name: str, now: float) -> None:
-        """Note that a replica is gone, and learn from when."""
+        """Record that a replica is gone, and update the estimates with the time."""
         departure = self._known.get(name)
         expected = self.expected(name)
         if departure is None or departure.gone or expected is None:
--- a/reachlink/requests/_flights.py
+++ b/reachlink/requests/_flights.py
@@ -1,4 +1,4 @@
-"""Where this instance's requests are, and how much of them replicas hold."""
+"""Allocations of this instance's requests at replicas, and the bytes that replicas hold."""
 
 from reachlink.limits import SentBytes
 from reachlink.requests._book import Flight
@@ -7,17 +7,17 @@
 from reachlink.requests._parts import RunnerParts
 from reachlink.upstreams import Replica
 
-# By how much an expected time must change for the others to be told, in seconds.
+# Minimum change of an expected time that is sent to the other instances, in seconds.
 TOLD_AGAIN_S = 0.03
 
 
 class Flights:
-    """Keeps account of the requests at replicas.
+    """Records the allocations of requests and copies at replicas.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
@@ -27,18 +27,18 @@
     def add(
         self, request: CallerRequest, replica: Replica, reads: bool = True, copy: bool = False
     ) -> Flight:
-        """Note that a request, or a copy of it, is at a replica.
+        """Add and return the allocation of a request or a copy at a replica.
 
         Parameters
         ----------
         request : CallerRequest
-            The request.
+            Request that takes the memory.
         replica : Replica
-            Where it is.
+            Replica that the request or copy is sent to.
         reads : bool
-            Whether the replica has its prompt to read.
+            Whether the replica has to process the prompt.
         copy : bool
-            Whether only a copy of its memory is there.
+            Whether the replica gets only a copy of the memory.
         """
         unread = request.prompt_tokens if reads else 0
         flight = Flight(
@@ -55,25 +55,25 @@
         return flight
 
     def remove(self, replica: Replica, flight: Flight) -> None:
-        """Note that it is there no more."""
+        """Remove an allocation from a replica."""
         self._parts.book.remove(replica.name, flight)
         self._sent.remove(replica.name, flight.body_bytes)
         flight.body_bytes = 0
 
     def full(self, size: int) -> frozenset[str]:
-        """Return the replicas that hold too much of this instance to get so many bytes more."""
+        """Return the replicas whose limit of bytes from this instance `size` would exceed."""
         return self._sent.full(size, self._parts.instances())
 
     def has_read(self, flight: Flight) -> None:
-        """Note that a replica has read a request's prompt."""
+        """Record that a replica has processed a request's prompt."""
         self._parts.book.has_read(flight)
 
     def hold(self, flight: Flight) -> None:
-        """Note that a copy gives way no longer."""
+        """Record that a copy is no longer evictable."""
         self._parts.book.hold(flight)
 
     def expect_join(self, flight: Flight, home: Replica) -> None:
-        """Note when a generation will go on from its copy, its home being about to go."""
+        """Record when a generation will resume from its copy because its primary leaves."""
         departures = self._parts.departures
         departures.notice(home.name, self._parts.clock())
         at = departures.expected(home.name)
@@ -82,10 +82,10 @@
             self._parts.book.touch()
 
     def leaves_in(self, replica: Replica) -> float | None:
-        """Return the time until a leaving replica is gone, in seconds; None where unknown."""
+        """Return the time until a leaving replica is shut down, in seconds; None if unknown."""
         at = self._parts.departures.expected(replica.name)
         return None if at is None else at - self._parts.clock()
 
     def gone(self, replica: Replica) -> None:
-        """Note that a replica is gone that was expected to go."""
+        """Record that a replica is gone, from which the estimates of shutdowns are updated."""
         self._parts.departures.gone(replica.name, self._parts.clock())
--- a/reachlink/requests/_generation_places.py
+++ b/reachlink/requests/_generation_places.py
@@ -1,11 +1,11 @@
-"""Where a running generation is, and where its memory is copied to.
+"""Replicas of a running generation: where it runs, and where copies of its memory are.
 
-A generation runs at its home. A copy of its memory is kept in one of two ways:
+A generation runs at its primary. A copy of its memory is kept in one of two ways:
 
-- a shadow: this instance orders moves of the memory to another replica again
-  and again, and can free the copy where room is needed (`_shadow`);
-- a backup, where replicas do not move memory at an order: the home itself sends
-  memory to the backup as the generation grows, and nobody can free it early.
+- Shadow copy: this instance repeatedly requests transfers of the memory to another
+  replica, and can evict the copy if its memory is needed (`_shadow`).
+- Backup, for replicas that don't transfer memory on request: the primary itself sends the
+  memory to the backup while the generation grows, and the copy cannot be freed early.
 """
 
 import asyncio
@@ -20,54 +20,54 @@
 from reachlink.requests._shadow import Shadow
 from reachlink.upstreams import MovedMemory, MoveSetback, Replica
 
-# Time between two looks at whether a generation's replicas stay, in seconds.
+# Interval between two checks of a generation's replicas, in seconds.
 WATCH_S = 0.05
-# Shortest output, in tokens, that is copied while its replica stays: a shorter
-# one ends within two seconds, so that it is seldom hit.
+# Minimum expected remaining output for a copy while the primary stays, in tokens. A shorter
+# one ends within two seconds, so it is rarely affected by a shutdown.
 COPY_FROM_TOKENS = 200
-# Most output that may come yet from which on a generation is copied when its replica
-# leaves, in tokens: a shorter one ends first. Not the expected output: by a wrong guess
-# generations would be taken for nearly done, and lost with their replicas.
+# Minimum value of the maximum remaining output for a copy when the primary leaves, in tokens.
+# A shorter one ends before the shutdown. The expected output is not used here: with a wrong
+# estimate, generations would count as nearly finished and be lost with their replicas.
 RESCUE_FROM_TOKENS = 100
-# How much later than its home the target of a copy has to leave to be of use, in
-# seconds: what the generation needs to be copied away from there.
+# Minimum time between the shutdowns of the primary and of a copy's replica for the copy to be
+# useful, in seconds: the time to copy the generation again from there.
 LEAVES_LATER_S = 0.6
-# How much later the next generation of a leaving replica is copied, in seconds:
-# long enough that the orders arrive one after the other, so that what is worth
-# most goes first.
+# Interval between the evacuations of generations from a leaving replica, in seconds: long
+# enough that their transfer requests arrive in order, the highest expected loss first.
 EVACUATION_STEP_S = 0.03
-# Chance from 0 to 1 that a copy is begun at one look, where nothing else forbids
-# it: the others hear of it before most of them look again.
+# Probability from 0 to 1 that a needed copy is started at a check while the primary stays. It
+# spreads the copies: other instances learn of a new copy before most of them start theirs.
 BEGIN_SHARE = 0.2
-# How long after a copy could not be ordered the next one is, in seconds: the
-# source does not answer, or its zone is cut off.
+# Delay before the next copy if the source did not answer a transfer request, for example
+# because its zone is partitioned, in seconds.
 SOURCE_SILENT_S = 1.0
-# The same where the source does not run the generation just now, in seconds: it was pushed
-# out there and waits to be read anew.
+# Delay before the next copy if the source does not run the generation at the moment, in
+# seconds: it was preempted and waits for its prompt to be processed again.
 NOT_RUNNING_S = 0.1
 
 
 @dataclass(slots=True)
 class _Place:
-    """A replica that carries a generation or a copy of it."""
+    """Replica with a generation or a copy, and its allocation there."""
 
     replica: Replica
     flight: Flight
-    # When the replica had started, in Unix milliseconds; 0 for unknown.
+    # Start time of the replica when the memory was sent there, in Unix milliseconds; 0 if
+    # unknown.
     born: int = 0
 
 
 class GenerationPlaces:
-    """The replicas of one generation: its home, its backup and its shadow.
+    """Manages the replicas of one generation: its primary, its backup and its shadow copy.
 
     Parameters
     ----------
     dispatch : Dispatch
-        Chooses replicas and keeps account of what is there.
+        Chooses replicas and records allocations.
     request : CallerRequest
-        Request that the generation serves.
+        Request of the generation.
     joint : Joint
-        Knows how far the generation has come.
+        Provides the number of the last event.
     """
 
     def __init__(self, dispatch: Dispatch, request: CallerRequest, joint: Joint) -> None:
@@ -79,42 +79,43 @@
         self._backup: _Place | None = None
         self._shadow: Shadow | None = None
         self._shadow_place: _Place | None = None
-        # Given up while an order of it was on its way.
+        # Last shadow copy that was discarded; a transfer to it may still be in progress.
         self._given_up: Shadow | None = None
         self._targets = CopyTargets(dispatch, request)
-        # When the home was seen to leave, in monotonic seconds; None while it stays.
+        # Monotonic time in seconds at which the primary was found to be leaving; None if it
+        # is not.
         self._leaving_since: float | None = None
-        # When the next copy may be ordered, in monotonic seconds.
+        # Monotonic time in seconds before which no copy is started.
         self._not_before = 0.0
 
     @property
     def home(self) -> Replica:
-        """Where the generation runs; it must have begun."""
+        """Replica at which the generation runs; only valid after `begin`."""
         assert self._home is not None
         return self._home.replica
 
     @property
     def backup(self) -> Replica | None:
-        """The backup that the home itself sends memory to."""
+        """Replica to which the primary itself sends the memory, if any."""
         return self._backup.replica if self._backup is not None else None
 
     @property
     def shadow(self) -> Replica | None:
-        """Where this instance has the memory copied to."""
+        """Replica of the shadow copy, if any."""
         return self._shadow_place.replica if self._shadow_place is not None else None
 
     @property
     def has_copy(self) -> bool:
-        """Whether there is a backup or a shadow, be its memory there yet or not."""
+        """Whether there is a backup or a shadow copy, even if its memory has not arrived."""
         return self._backup is not None or self._shadow is not None
 
     async def begin(self, replica: Replica) -> None:
-        """Begin at a replica, with a backup where there is need and room for one."""
+        """Start at a replica, with a backup if it is needed and there is room for one."""
         self._home = self._occupy(replica, reads=True)
         self._backup = await self._choose_backup(set())
 
     async def move_to(self, target: Replica) -> Replica:
-        """Make a replica the home, with a new backup; return the home before."""
+        """Make a replica the primary, choose a new backup, and return the previous primary."""
         lost = self._home
         assert lost is not None
         self._free(lost)
@@ -126,15 +127,15 @@
         return lost.replica
 
     def note_prompt_read(self) -> None:
-        """Note that the home has read the prompt."""
+        """Record that the primary has processed the prompt."""
         assert self._home is not None
         self._dispatch.flights.has_read(self._home.flight)
 
     def note_progress(self) -> None:
-        """Note how much memory the generation takes by now, and will at its end.
+        """Record the memory that the generation takes now and is expected to take at its end.
 
-        One that outlives its guess is counted with what is expected to come yet: full
-        engines would preempt others for it else (test_promise_load).
+        If a generation gets longer than estimated, its expected memory increases with it.
+        Otherwise, full engines would preempt other generations for it (test_promise_load).
         """
         outlook = self._outlook()
         for place in (self._home, self._backup, self._shadow_place):
@@ -143,13 +144,13 @@
                 place.flight.tokens = max(place.flight.tokens, outlook.end_tokens)
 
     def leave(self) -> None:
-        """Free every replica."""
+        """Release all replicas."""
         self._drop_shadow()
         self._free(self._home)
         self._free(self._backup)
 
     async def continuations(self) -> list[tuple[Replica, MovedMemory]]:
-        """Return where the generation may go on, the best first."""
+        """Return the replicas and memory from which the generation may resume, best first."""
         found: list[tuple[Replica, MovedMemory]] = []
         if self._shadow is not None and self._shadow_place is not None:
             memory = await self._shadow.take()
@@ -162,18 +163,18 @@
         return found
 
     def _holds(self, place: _Place) -> bool:
-        """Return whether a generation may go on from a copy."""
+        """Return whether a generation may resume from a copy."""
         return self._placing.is_in_service(place.replica) and not self._started_again(place)
 
     async def watch(self) -> None:
-        """Keep a shadow of the generation at a replica that stays, until cancelled."""
+        """Maintain a shadow copy at a replica that stays, until cancelled."""
         while True:
             await asyncio.sleep(WATCH_S)
             if self._home is not None and self._joint.last >= 0:
                 await self._look()
 
     async def _look(self) -> None:
-        """Drop a shadow that is of no use, and begin one where it is needed."""
+        """Drop a useless shadow copy, and start a shadow copy if one is needed."""
         leaving = self._note_leaving()
         if self._shadow is not None and not self._may_keep_shadow(leaving):
             self._drop_shadow()
@@ -182,7 +183,7 @@
             await self._begin_shadow(leaving)
 
     def _note_leaving(self) -> bool:
-        """Return whether the home leaves, and note since when."""
+        """Return whether the primary is leaving, and record when this was first found."""
         if self._placing.stays(self.home):
             self._leaving_since = None
             return False
@@ -191,7 +192,7 @@
         return True
 
     def _note_cover(self) -> None:
-        """Note what the other instances need to order evacuations and copies."""
+        """Update what the other instances need to sort evacuations and evictions."""
         assert self._home is not None
         flight = self._home.flight
         flight.stake = self._stake()
@@ -201,19 +202,19 @@
         flight.uncovered = not covered and self._is_worth_rescue()
 
     def _is_due(self) -> bool:
-        """Return whether it is this generation's turn to be copied."""
+        """Return whether a copy of this generation may be started now."""
         now = self._dispatch.now()
         if now < self._not_before:
             return False
         if self._leaving_since is None:
-            # Not all at the same moment, when a replica has come.
+            # Prevents all generations from starting copies at once at a new replica.
             return self._dispatch.draw() < BEGIN_SHARE
         assert self._home is not None
         rank = self._dispatch.copy_order.evacuation_rank(self._home.replica, self._home.flight)
         return now >= self._leaving_since + rank * EVACUATION_STEP_S
 
     def _may_keep_shadow(self, leaving: bool) -> bool:
-        """Return whether the shadow is still of use, and its memory not needed by others."""
+        """Return whether the shadow copy is useful and its memory not needed by others."""
         assert self._shadow is not None and self._shadow_place is not None
         if self._shadow.failed:
             self._note_failed_shadow(self._shadow)
@@ -221,7 +222,7 @@
         if not self._placing.is_in_service(self._shadow.target):
             return False
         if self._started_again(self._shadow_place):
-            # The copy went with its life before.
+            # The copy was lost with the restart.
             return False
         target_stays = self._placing.stays(self._shadow.target)
         if leaving:
@@ -230,21 +231,21 @@
             self._shadow.hurry()
             if self._leaves_with_home(self._shadow.target):
                 return False
-            # Both may leave: the copy that is there is better than none.
+            # Both replicas may be leaving: a copy that has arrived is better than none.
             return target_stays or self._shadow.arrived
-        # What is on its way takes its room until it has arrived, and keeps other copies of
-        # this generation back: it could be given up in vain only.
+        # Discarding a copy during its transfer would gain nothing: it takes its memory until
+        # the transfer ends, and the source accepts no other transfer of this generation.
         return target_stays and not (self._shadow.arrived and self._gives_way(self._shadow_place))
 
     def _started_again(self, place: _Place) -> bool:
-        """Return whether a replica has started again since memory was sent there."""
+        """Return whether a replica has restarted since memory was sent there."""
         return 0 < place.born < self._placing.born(place.replica)
 
     def _leaves_with_home(self, target: Replica) -> bool:
-        """Return whether a target is gone as soon as the home, with time for another copy.
+        """Return whether a target leaves too soon after the primary, with time for a new copy.
 
-        Several replicas may get their notice at once, and a generation be lost with its home
-        and its copy.
+        Several replicas may get their shutdown notices at once, and a generation would be
+        lost if its primary and its copy are shut down together.
         """
         if self._placing.stays(target):
             return False
@@ -255,7 +256,7 @@
         return target_left < home_left + LEAVES_LATER_S
 
     def _note_failed_shadow(self, shadow: Shadow) -> None:
-        """Avoid a target that had no room; put the next copy off where the source failed."""
+        """Exclude a target without room; delay the next copy if the source failed."""
         if shadow.setback is MoveSetback.NO_ROOM:
             self._targets.avoid(shadow.target)
         elif shadow.setback is MoveSetback.NOT_RUNNING:
@@ -264,7 +265,7 @@
             self._not_before = self._dispatch.now() + SOURCE_SILENT_S
 
     def _gives_way(self, place: _Place) -> bool:
-        """Return whether the shadow has to make room at its replica, and avoid it then."""
+        """Return whether the shadow copy must be evicted; if so, avoid its replica."""
         place.flight.stake = self._stake()
         if not self._dispatch.copy_order.must_give_way(
             self._request.service, place.replica, place.flight
@@ -280,7 +281,7 @@
         return True
 
     def _needs_shadow(self, leaving: bool) -> bool:
-        """Return whether a shadow is worth its place, leaving aside one that there is."""
+        """Return whether a shadow copy is worth its memory, regardless of an existing one."""
         engine = self._request.service.engine
         if engine is None or not engine.moves:
             return False
@@ -298,10 +299,10 @@
         return self._outlook().longest_remaining_tokens >= RESCUE_FROM_TOKENS
 
     async def _begin_shadow(self, leaving: bool) -> None:
-        """Order a shadow where there is a replica for it."""
+        """Start a shadow copy if there is a replica for it."""
         home = self._home
         target = await self._choose_shadow_target(leaving)
-        # The generation may have gone on elsewhere while a coordinator was asked.
+        # The generation may have resumed elsewhere during the query to a coordinator.
         if target is None or self._home is not home:
             return
         self._log_shadow(target, leaving)
@@ -345,7 +346,7 @@
         self._shadow_place = None
 
     def _outlook(self) -> Outlook:
-        """Return how far the generation has come."""
+        """Return the progress of the generation."""
         facts = self._request.relay.generation
         engine = self._request.service.engine
         return Outlook(
@@ -357,16 +358,16 @@
         )
 
     def _stake(self) -> int:
-        """Return what would be lost with the generation where it runs now."""
+        """Return the expected loss of the generation at its primary."""
         near = self._home is None or self._placing.reachable.is_near(self._home.replica)
         return self._outlook().stake(near)
 
     async def _choose_backup(
         self, excluded: set[str], before: Replica | None = None
     ) -> _Place | None:
-        """Choose a backup, if there is need and room for one, and note the copy there.
+        """Choose a backup, if it is needed and there is room, and record its allocation.
 
-        The home before, where it stays, is as good a backup as any.
+        The previous primary is preferred if it stays.
         """
         engine = self._request.service.engine
         if engine is None or not engine.backups or engine.moves:
@@ -380,7 +381,7 @@
         return self._occupy(found, copy=True) if found is not None else None
 
     def _may_be_backup(self, before: Replica, home: Replica) -> bool:
-        """Return whether the home before may be the backup."""
+        """Return whether the previous primary may be the backup."""
         if before.name == home.name or not self._placing.takes_work(before):
             return False
         return self._placing.reachable.is_near(before) or self._placing.reachable.is_near(home)
--- a/reachlink/requests/_line_placing.py
+++ b/reachlink/requests/_line_placing.py
@@ -1,4 +1,4 @@
-"""Choosing a replica for a request that stands in line where there is no room."""
+"""Choice of a replica for a request that waits in a queue if there is no room."""
 
 import asyncio
 
@@ -9,23 +9,24 @@
 from reachlink.scheduling import Refuse, Wait
 from reachlink.upstreams import Replica
 
-# Answers to wait that come sooner than this were not held, in seconds.
+# Replies to wait that arrive sooner than this were not delayed by the queue's owner, in seconds.
 HELD_S = 0.01
-# How often one that stood in line asks while nobody keeps one, in seconds.
+# Polling interval of a request that was queued, while the queue has no owner, in seconds.
 UNKEPT_STEP_S = 0.05
-# How long it does so, in seconds: owners that have just started keep a line after 1.2 s.
+# Maximum duration of this polling, in seconds: an owner manages a queue from 1.2 s after its
+# start.
 UNKEPT_MOST_S = 2.5
 
 
 class LinePlacing:
-    """Has requests stand in line, one message and its answer for as long as it is held.
+    """Queues requests at the queue's owner with long polling: the owner delays its replies.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     placing : Placing
-        Asks the owner of the line.
+        Sends queries to the queue's owner.
     """
 
     def __init__(self, parts: RunnerParts, placing: Placing) -> None:
@@ -33,23 +34,24 @@
         self._placing = placing
 
     def serves(self, request: CallerRequest) -> bool:
-        """Return whether a request stands in line where there is no room."""
+        """Return whether a request uses the queue if there is no room."""
         return self._parts.scheduling.line and request.service.engine is not None
 
     async def place(self, request: CallerRequest, tried: set[str]) -> Replica | Refuse | None:
-        """Return the replica that a request should go to, once it is its turn.
+        """Return the replica that a request should be sent to, waiting in the queue for it.
 
         Parameters
         ----------
         request : CallerRequest
-            The request.
+            Request to place.
         tried : set of str
-            Replicas that it must not go to.
+            Names of replicas that must not be chosen.
 
         Returns
         -------
         Replica or Refuse or None
-            None where nobody keeps a line, or where it waits for something else than room.
+            None if the queue has no owner, or if the request waits for something other than
+            room.
         """
         parts = self._parts
         in_line = False
@@ -57,7 +59,7 @@
         while True:
             asked_at = parts.clock()
             calm_only = may_wait_for_room(request, asked_at)
-            # The first answer is not held: it shows soon whether there is an owner.
+            # The first reply is not delayed, so that a missing owner is noticed early.
             hold_s = LINE_HOLD_S if in_line else 0.0
             found = await self._placing.place_in_line(request, tried, calm_only, hold_s)
             if isinstance(found, Replica | Refuse):
@@ -71,14 +73,14 @@
             elif parts.clock() - kept_at > UNKEPT_MOST_S:
                 return None
             if found is None:
-                # Owners that have just started: its place is kept by its age.
+                # The owner has just started. The request's age determines its position.
                 await asyncio.sleep(UNKEPT_STEP_S)
             elif in_line and parts.clock() - asked_at < HELD_S:
                 await asyncio.sleep(WAIT_STEP_S)
             in_line = in_line or isinstance(found, Wait)
 
     def _waits_for_else(self, request: CallerRequest, tried: set[str]) -> bool:
-        """Return whether it is not room that a request waits for."""
+        """Return whether a request waits for something other than room."""
         placing = self._placing
         return (
             placing.reachable.obstacle(request) is not None
--- a/reachlink/requests/_load_notes.py
+++ b/reachlink/requests/_load_notes.py
@@ -1,7 +1,7 @@
-"""What the entry instances tell each other of their requests at model engines; pure.
+"""Messages in which entry instances share the load that they put on model engines.
 
-The structs here go over the wire as arrays: the order of their fields is the
-format, and new fields go to the end with a default.
+The structs are sent as arrays: the order of their fields is the wire format, and new
+fields are appended with a default. This module does no input or output.
 """
 
 import msgspec
@@ -10,24 +10,25 @@
 from reachlink.quarantine import QuarantineNote
 from reachlink.scheduling import PaceNote
 
-# How long after a generation was expected to go on at another replica it may still
-# do so, in seconds: what the expected time is off by, and its first event.
+# How long after its expected time a generation may still resume at another replica, in
+# seconds: covers the error of the expected time and the time of its first event there.
 JOIN_SETTLES_S = 0.12
 
 
 class MemoryNote(msgspec.Struct, array_like=True, frozen=True):
-    """Memory of a generation, or of a copy of one, that the instances order among themselves.
+    """Size and expected loss of a generation or of a copy, from which every instance sorts.
 
     Attributes
     ----------
     key : int
-        Hash of the request's name. It orders those of equal stake, the same way
-        at every instance.
+        Hash of the request identifier. Breaks ties between equal expected losses in the
+        same way at every instance.
     tokens : int
         Memory that it takes now, in tokens.
     stake : int
-        What would be lost with the generation (`Outlook.stake`). Copies with the
-        least give way first; generations with the most leave first.
+        Work that is lost if the generation is lost, weighted by risk (`Outlook.stake`).
+        Copies with the lowest value are evicted first; generations with the highest
+        value are evacuated first.
     """
 
     key: int
@@ -36,31 +37,30 @@
 
 
 class ReplicaShare(msgspec.Struct, array_like=True, frozen=True):
-    """One instance's own requests at one replica, or the sum over several instances.
+    """Load that one instance, or several together, put on a replica.
 
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     running : int
-        Requests there, without copies.
+        Number of requests there, without copies.
     tokens : int
-        Memory that requests and copies are expected to need at their end, in
-        tokens, without the copies that give way.
+        Memory that requests and copies are expected to need when they end, in tokens,
+        without evictable copies.
     unread_tokens : int
-        Prompts that the replica still has to read, in tokens.
+        Prompt tokens that the replica has not processed yet.
     used_tokens : int
-        Memory that requests and copies take now, in tokens, without the copies
-        that give way.
+        Memory that requests and copies take now, in tokens, without evictable copies.
     copies : tuple of MemoryNote
-        The copies that give way where room is needed.
+        Evictable copies.
     uncovered : tuple of MemoryNote
-        The running generations that no other replica has a copy of.
+        Running generations that no other replica has a copy of.
     arriving : int
-        Copies whose first move to the replica has not ended yet.
+        Number of copies whose first transfer to the replica has not ended.
     joins_in_s : float, optional
-        Time until the next generation is expected to go on at the replica from a
-        home that leaves, in seconds; may be a little below 0.
+        Time in seconds until the next generation is expected to resume at the replica
+        because its primary leaves; may be slightly negative.
     """
 
     replica: str
@@ -75,34 +75,36 @@
 
     @property
     def copy_tokens(self) -> int:
-        """Memory of the copies that give way, in tokens."""
+        """Memory of the evictable copies, in tokens."""
         return sum(copy.tokens for copy in self.copies)
 
 
 class ReplicaNews(msgspec.Struct, array_like=True, frozen=True):
-    """What one instance read in a replica's report.
+    """Load report of a replica that one instance read and passes on to the others.
 
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     leaving : bool
-        Whether it said that it leaves.
+        Whether the replica is leaving.
     kv_used_tokens : int
-        Memory in use there, in tokens, copies included.
+        Used memory of the replica, in tokens, including copies.
     running : int
-        Requests running there, those of all instances.
+        Number of requests of all instances that run there.
     age_s : float
-        How long before telling it was read, in seconds: the instances' clocks
-        are not compared.
+        Age of the report when it is passed on, in seconds. A time would not do, because
+        the clocks of the instances are not synchronized.
     leaves_in_s : float, optional
-        Time from then until it is taken away, in seconds, where it said so.
+        Time from reading the report until the replica is shut down, in seconds, if the
+        report contains it.
     gone : bool
-        Whether another replica has its address by now.
+        Whether another replica uses its address by now.
     born : int
-        When it started, in Unix milliseconds by its own clock; 0 for unknown.
+        Start time of the replica, in Unix milliseconds by its own clock; 0 if unknown.
     says_leaving : bool
-        Whether that it leaves is its own word, and for good in that life.
+        Whether the replica itself announced that it leaves, which is final until it
+        restarts.
     """
 
     replica: str
@@ -117,24 +119,24 @@
 
 
 class ListedReplica(msgspec.Struct, array_like=True, frozen=True):
-    """A replica that one instance has found new, or leaving, in the platform's list.
+    """Replica that one instance found to be new or leaving in the platform's list.
 
     Attributes
     ----------
     name : str
-        The replica.
+        Name of the replica.
     service : str
-        Service whose requests it takes.
+        Name of the service whose requests it handles.
     availability_zone : str
-        Zone that it is in.
+        Availability zone of the replica.
     address : str
-        Host and port as the platform lists them.
+        Host and port in the platform's list.
     leaving : bool
-        Whether the list says that it leaves.
+        Whether the replica is listed as leaving.
     cold_s : float
-        How long it is still cold, in seconds.
+        Remaining time in seconds for which the replica is cold.
     born : int
-        When it started, in Unix milliseconds by its own clock; 0 for unknown.
+        Start time of the replica, in Unix milliseconds by its own clock; 0 if unknown.
     """
 
     name: str
@@ -147,16 +149,16 @@
 
 
 class ReplicaOutcome(msgspec.Struct, array_like=True, frozen=True):
-    """How a request went at a replica.
+    """Outcome of a request at a replica.
 
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     good : bool
-        Whether it delivered.
+        Whether the request succeeded.
     answered : bool
-        Whether it answered, be it that the request has failed.
+        Whether the replica answered, possibly with a failure.
     """
 
     replica: str
@@ -165,24 +167,24 @@
 
 
 class LoadNote(msgspec.Struct, array_like=True, frozen=True):
-    """All of an instance's own requests, and what it read in reports and the list lately.
+    """Message with an instance's own load and its recent observations of the replicas.
 
     Attributes
     ----------
     instance : str
-        Who tells.
+        Name of the sending instance.
     shares : list of ReplicaShare
-        Its own requests; replicas that are missing have none of them.
+        Its usage of each replica; it has no requests at replicas that are missing.
     news : list of ReplicaNews
-        What it read in load reports lately.
+        Load reports that it read recently.
     listed : list of ListedReplica
-        What it found new in the platform's list lately.
+        Recent changes that it found in the platform's list.
     quarantine : QuarantineNote
-        What it learned of crashes lately.
+        Recent information on crashes.
     limits : list of LimitNote
-        What replicas take from all instances together, of those that have said so.
+        Rate limits that replicas announced for all instances together.
     paces : list of PaceNote
-        How fast replicas work, where that is news to who is told.
+        Pace of replicas, as far as it is new to the receiver.
     """
 
     instance: str
@@ -195,7 +197,7 @@
 
 
 def total(shares: list[ReplicaShare]) -> ReplicaShare:
-    """Return the sum of several instances' requests at one replica; there must be some."""
+    """Return the sum of the usages of one replica; `shares` must not be empty."""
     joins = [s.joins_in_s for s in shares if s.joins_in_s is not None]
     return ReplicaShare(
         replica=shares[0].replica,
@@ -211,7 +213,10 @@
 
 
 def shortened(share: ReplicaShare) -> ReplicaShare:
-    """Return a share whose copies and generations are one sum each, for who has none there."""
+    """Return a usage whose copies and unreplicated generations are one total each.
+
+    Sent to instances that have no allocation at the replica: they don't need the details.
+    """
     return msgspec.structs.replace(
         share, copies=_sum_of(share.copies), uncovered=_sum_of(share.uncovered)
     )
--- a/reachlink/requests/_needs.py
+++ b/reachlink/requests/_needs.py
@@ -1,11 +1,14 @@
-"""What a request needs of a replica; pure."""
+"""Requirements of a request on its replica.
+
+This module does no input or output.
+"""
 
 from reachlink.requests._model import CallerRequest
 from reachlink.scheduling import Need
 
 
 def need_tokens(request: CallerRequest) -> int:
-    """Return the memory that a generation will likely need at its end, in tokens."""
+    """Return the memory that a generation is expected to need when it ends, in tokens."""
     facts = request.relay.generation
     if facts is None:
         return 0
@@ -14,7 +17,7 @@
 
 
 def need_of(request: CallerRequest, now: float) -> Need:
-    """Return what a request needs, and by when, at a monotonic time in seconds."""
+    """Return the requirements and time limits of a request as of `now` (monotonic seconds)."""
     return Need(
         tokens=need_tokens(request),
         prompt_tokens=request.prompt_tokens,
--- a/reachlink/requests/_obstacles.py
+++ b/reachlink/requests/_obstacles.py
@@ -1,10 +1,10 @@
-"""Why no replica may get a request now, however long it waits."""
+"""Reasons why no replica may get a request, however long it waits."""
 
 from enum import Enum
 
 
 class Obstacle(Enum):
-    """What stands in the way of a request; the value is its code in logs and metrics."""
+    """Reason why a request cannot be placed; the value is its code in logs and metrics."""
 
     OUT_OF_SERVICE = "zones_out_of_service"
     HOME_OUT_OF_REACH = "home_regions_out_of_reach"
@@ -12,14 +12,15 @@
 
     @property
     def come_back_in_s(self) -> float:
-        """When a caller that is refused for it should come back, in seconds."""
+        """Time in seconds after which a refused caller should retry."""
         return _COME_BACK_IN_S[self]
 
 
-# The balancer takes two of its questions, a second apart, to turn to other zones.
+# The load balancer needs two readiness checks, one second apart, to redirect callers to other
+# zones.
 ELSEWHERE_AFTER_S = 1.2
-# Zones come back by an operator's order, which takes up to a second to be in force
-# everywhere. Sooner asks in vain; much later keeps callers away when it is over.
+# An operator's order puts a zone back into service and takes up to one second to reach every
+# instance. Callers that retry sooner fail again; a much longer time keeps them away needlessly.
 IN_SERVICE_AFTER_S = 2.0
 
 _COME_BACK_IN_S = {
--- a/reachlink/requests/_outlook.py
+++ b/reachlink/requests/_outlook.py
@@ -1,18 +1,21 @@
-"""How far a generation has come, and what would be lost with it; pure."""
+"""Progress of a generation, and the work that is lost if the generation is lost.
+
+This module does no input or output.
+"""
 
 from dataclasses import dataclass
 
-# Work to make one token of output again, in tokens of prompt that could be read
-# in the same time.
+# Work to generate one token of output again, in prompt tokens that can be processed in the
+# same time.
 OUTPUT_WEIGHT = 10
-# Factor by which a generation in another zone is more at risk: it is lost with
-# its replica or with the connection between the zones.
+# Factor by which the risk of a generation in another zone is higher: it is lost with its
+# replica or with the connection between the zones.
 FAR_RISK = 2
-# Remaining output from which on a generation is at full risk, in tokens: about
-# as many as are made between two notices.
+# Remaining output above which a generation has the full risk, in tokens: about the output
+# between two shutdown notices.
 RISK_TOKENS = 330
-# Output still expected once the expected length is reached or nearly so, as a
-# share of what has been made.
+# Output that is at least expected to follow, as a fraction of the output so far. It applies
+# when the expected length is nearly or fully reached.
 MORE_SHARE = 0.25
 
 
@@ -25,15 +28,15 @@
     prompt_tokens : int
         Size of the prompt, in tokens.
     expected_tokens : int
-        Expected length of the whole output, in tokens; 0 where unknown, which
-        counts as `max_tokens`.
+        Expected length of the whole output, in tokens. 0 if unknown; `max_tokens` is
+        used then.
     max_tokens : int
-        Longest output that was asked for, in tokens.
+        Maximum length of the output that the caller requested, in tokens.
     last_event : int
-        Number of the last event that was passed on, counted from 1; -1 before the
-        first. Each carries output.
+        Number of the last event that was forwarded, counted from 1; -1 before the first.
+        Each event carries output.
     tokens_per_event : int
-        Output that one event carries, in tokens; 0 where it is not a generation.
+        Output that one event carries, in tokens; 0 if it is not a generation.
 
     Examples
     --------
@@ -52,7 +55,7 @@
 
     @property
     def made_tokens(self) -> int:
-        """Output that has been made, in tokens."""
+        """Output so far, in tokens."""
         return max(0, self.last_event) * self.tokens_per_event
 
     @property
@@ -62,23 +65,23 @@
 
     @property
     def longest_remaining_tokens(self) -> int:
-        """Output that may come yet at the most, in tokens."""
+        """Maximum remaining output, in tokens."""
         return max(0, self.max_tokens - self.made_tokens)
 
     @property
     def remaining_tokens(self) -> int:
-        """Output that is expected to come yet, in tokens."""
+        """Expected remaining output, in tokens."""
         made = self.made_tokens
         expected = self.expected_tokens or self.max_tokens
         return min(self.longest_remaining_tokens, max(expected - made, round(made * MORE_SHARE)))
 
     @property
     def end_tokens(self) -> int:
-        """Memory that the generation is expected to take at its end, in tokens."""
+        """Memory that the generation is expected to take when it ends, in tokens."""
         return self.used_tokens + self.remaining_tokens
 
     def stake(self, near: bool) -> int:
-        """Return what is at stake: the work lost with the generation, by its risk.
+        """Return the expected loss: the work to repeat the generation, weighted by risk.
 
         Parameters
         ----------
@@ -88,7 +91,7 @@
         Returns
         -------
         int
-            Work in tokens of prompt, weighted by the risk; only compared.
+            Work in prompt tokens, weighted by risk. Only meaningful in comparisons.
         """
         remaining = self.remaining_tokens
         work = self.prompt_tokens + OUTPUT_WEIGHT * (self.made_tokens + remaining)
--- a/reachlink/requests/_place_question.py
+++ b/reachlink/requests/_place_question.py
@@ -1,7 +1,7 @@
-"""What an instance asks its coordinator before it sends something to a model engine.
+"""Query for the placement of a request or copy, which an instance sends to its coordinator.
 
-The structs go over the wire as arrays: the order of their fields is the format,
-and new fields go to the end with a default.
+The structs are sent as arrays: the order of their fields is the wire format, and new
+fields are appended with a default.
 """
 
 import zlib
@@ -25,7 +25,12 @@
 
 
 class Purpose(Enum):
-    """What is to be placed."""
+    """Kind of placement: a request, or one of three kinds of copies.
+
+    A standing copy is made while the primary stays. A copy at home is a standing copy of a
+    generation that runs in another zone; this instance's zone is preferred for it. A rescue
+    is a copy from a leaving primary.
+    """
 
     REQUEST = "request"
     STANDING_COPY = "standing copy"
@@ -42,39 +47,42 @@
 
 
 class PlaceQuestion(msgspec.Struct, array_like=True, frozen=True):
-    """Where a request, or a copy of a generation, should go.
+    """Query for the replica that a request, or a copy of a generation, should be sent to.
 
     Attributes
     ----------
     instance : str
-        Who asks.
+        Name of the querying instance.
     request_id : str
-        The request.
+        Identifier of the request.
     service : str
-        Its service.
+        Name of the service.
     purpose : Purpose
-        What is to be placed.
+        Kind of placement.
     tokens : int
-        Memory that it needs, in tokens: of a request at its end, of a copy now.
+        Memory that is needed, in tokens: for a request when it ends, for a copy now.
     prompt_tokens : int
-        Prompt that a request has to have read, in tokens; 0 for copies.
+        Size of the prompt that the replica has to process, in tokens; 0 for copies.
     excluded : tuple of str
-        Replicas that it must not go to.
+        Names of replicas that must not be chosen.
     zone : str
-        Zone whose replicas are preferred.
+        Availability zone whose replicas are preferred.
     calm_only : bool
-        Whether it must not go where a generation is about to go on.
+        Whether to exclude replicas at which another generation is about to resume.
     insist : bool
-        Whether a coordinator that knows little so far should decide nevertheless.
+        Whether a coordinator decides even if it has just started and may not know the
+        load of all instances yet.
     zones : tuple of str, optional
-        Zones that it may go to; None for any.
+        Availability zones that are allowed; None for all.
     need : Need, optional
-        What a request, or a generation that may go on at its copy, needs, and by when.
+        Requirements and time limits of the request, or of the generation that may resume
+        from the copy.
     hold_s : float, optional
-        How long the answer may be held until there is room, in seconds, where the request
-        stands in line; None where it does not.
+        Maximum time in seconds for which the answer may be delayed until there is room,
+        for a request that waits in a queue; None if it does not use a queue.
     fingerprint : int
-        What makes it the same when it comes back under another id; 0 where that is not known.
+        Hash by which a repeated request is recognized under another identifier; 0 if
+        unknown.
     """
 
     instance: str
@@ -94,16 +102,16 @@
 
     @property
     def in_line(self) -> bool:
-        """Whether what is asked for stands in line where there is no room."""
+        """Whether the request joins a queue if there is no room."""
         return self.hold_s is not None and self.need is not None
 
     @property
     def terms(self) -> Terms:
-        """On what terms an engine's memory is given."""
+        """Conditions for the allocation of an engine's memory."""
         return IN_LINE if self.in_line else _TERMS[self.purpose]
 
     def occupies(self, replica: str) -> ReplicaShare:
-        """Return what the answer takes at a replica until the asker tells of it itself."""
+        """Return the usage to assume at the chosen replica until the instance reports its own."""
         if self.purpose is Purpose.REQUEST:
             return ReplicaShare(
                 replica,
@@ -121,18 +129,18 @@
 
 
 class PlaceAnswer(msgspec.Struct, array_like=True, frozen=True):
-    """Where to, as a coordinator decides.
+    """Decision of a coordinator.
 
     Attributes
     ----------
     settled : bool
-        Whether it has been up for long enough to have heard of the others' load.
-        One that has not decides only where the question insists, and one without a list of
-        replicas never does.
+        Whether the coordinator has been up for long enough to have received the load of
+        all instances. If it has not, it decides only if the query has `insist` set, and
+        never without a list of replicas.
     replica : ListedReplica, optional
-        The replica; None where none is fit.
+        Chosen replica; None if none is suitable.
     otherwise : Wait or Refuse, optional
-        What a request should do that does not begin now.
+        What a request that cannot start now should do.
     """
 
     settled: bool
@@ -141,9 +149,9 @@
 
 
 AskCoordinator = Callable[[PlaceQuestion], Awaitable[PlaceAnswer | None]]
-"""Asks a coordinator; None where this instance is to decide by itself."""
+"""Sends a query to a coordinator; returns None if this instance has to decide itself."""
 
 
 async def decide_here(question: PlaceQuestion) -> PlaceAnswer | None:
-    """Ask nobody: this instance is a coordinator, or knows none."""
+    """Return None: this instance decides, since it is a coordinator or knows none."""
     return None
--- a/reachlink/requests/_placing.py
+++ b/reachlink/requests/_placing.py
@@ -1,4 +1,4 @@
-"""Which replica a request goes to, out of what this instance knows of all of them."""
+"""Choice of a replica for a request or copy, by this instance or its coordinator."""
 
 from collections.abc import Set
 
@@ -28,11 +28,11 @@
 )
 from reachlink.upstreams import Replica
 
-# How long a prompt holds up what joins after it, in seconds: the reading of 5,000
-# tokens at the 14 a millisecond of the users' engines, two usual prompts.
+# How long processing prompts delays a generation that resumes at the same replica, in
+# seconds: the time for 5,000 tokens, two usual prompts, at 14 tokens per millisecond.
 READING_S = 0.35
-# How long a coordinator is told of a replica that was found here to leave, in
-# seconds: longer than any of its readings of the list and of reports takes to come.
+# How long queries exclude a replica that this instance found to be leaving, in seconds:
+# longer than a coordinator takes to learn it from the list or from reports.
 LEAVING_TOLD_S = 5.0
 
 
@@ -42,7 +42,7 @@
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
@@ -53,28 +53,28 @@
 
     @property
     def reachable(self) -> ReachableReplicas:
-        """Knows which replicas can be reached."""
+        """Determines which replicas are reachable."""
         return self._reachable
 
     @property
     def options(self) -> ReplicaOptions:
-        """Knows how replicas stand."""
+        """Collects the load and health of replicas."""
         return self._options
 
     def stays(self, replica: Replica) -> bool:
-        """Return whether a replica is there and not known to leave."""
+        """Return whether a replica exists and is not known to be leaving."""
         return self._parts.directory.stays(replica.name)
 
     def is_in_service(self, replica: Replica) -> bool:
-        """Return whether a replica's zone is not out of service by an operator's order."""
+        """Return whether no operator has taken the replica's zone out of service."""
         return replica.availability_zone not in self._parts.directory.out_of_service
 
     def born(self, replica: Replica) -> int:
-        """Return when a replica started last, in Unix milliseconds; 0 for unknown."""
+        """Return the last start time of a replica, in Unix milliseconds; 0 if unknown."""
         return self._parts.directory.born(replica.name)
 
     def takes_work(self, replica: Replica) -> bool:
-        """Return whether a replica stays and its zone is in service."""
+        """Return whether a replica is not leaving and its zone is in service."""
         return self._parts.directory.may_get_work(replica.name)
 
     async def place(
@@ -84,19 +84,20 @@
         calm_only: bool = False,
         within_s: float = 0.0,
     ) -> Replica | None:
-        """Return the replica that a request should go to, or None where there is none.
+        """Return the replica that a request should be sent to, or None if there is none.
 
         Parameters
         ----------
         request : CallerRequest
-            The request.
+            Request to place.
         tried : set of str
-            Replicas that it must not go to.
+            Names of replicas that must not be chosen.
         calm_only : bool
-            Whether it must not go where it would hold up a generation that is about
-            to go on there, whose caller would see the pause.
+            Whether to exclude replicas at which another generation is about to resume:
+            processing the prompt would delay it, and its caller would see a pause.
         within_s : float
-            How long it may wait for its permit at a replica with a limit, in seconds.
+            Maximum time in seconds that the request may wait for a permit of a replica
+            with a rate limit.
         """
         excluded = tried | self._not_admitted(request.service, within_s)
         question = self.question(request, excluded, calm_only)
@@ -106,23 +107,23 @@
     async def place_in_line(
         self, request: CallerRequest, tried: set[str], calm_only: bool, hold_s: float
     ) -> Replica | Wait | Refuse | None:
-        """Return what the owner of the line says: a replica, to wait, or to go.
+        """Return the decision of the queue's owner: a replica, to wait, or to refuse.
 
         Parameters
         ----------
         request : CallerRequest
-            The request.
+            Request to place.
         tried : set of str
-            Replicas that it must not go to.
+            Names of replicas that must not be chosen.
         calm_only : bool
-            Whether it must not go where a generation is about to go on.
+            Whether to exclude replicas at which another generation is about to resume.
         hold_s : float
-            How long the answer may be held until there is room, in seconds.
+            Maximum time in seconds for which the answer may be delayed until there is room.
 
         Returns
         -------
         Replica or Wait or Refuse or None
-            None where nobody keeps a line, and there is no room.
+            None if the queue has no owner and there is no room.
         """
         excluded = tried | self._not_admitted(request.service)
         asked = self.question(request, excluded, calm_only)
@@ -132,13 +133,14 @@
             return self.decide(request.service, question)
         if answer.replica is None:
             return answer.otherwise
-        # One that is known here to leave is no room; its place in line is gone.
+        # A replica that is known here to be leaving gives no room, and the request has lost
+        # its position in the queue: it asks again at once.
         return self._named(answer) or Wait(0.0)
 
     def question(
         self, request: CallerRequest, tried: set[str], calm_only: bool = False
     ) -> PlaceQuestion:
-        """Return the question where a request should go; see `place`."""
+        """Return the placement query for a request; see `place` for the parameters."""
         return PlaceQuestion(
             instance="",
             request_id=request.request_id,
@@ -157,20 +159,20 @@
     async def place_copy(
         self, request: CallerRequest, excluded: set[str], tokens: int, purpose: Purpose, zone: str
     ) -> Replica | None:
-        """Return the replica that a copy of a generation should go to, if any.
+        """Return the replica that a copy of a generation should be sent to, if any.
 
         Parameters
         ----------
         request : CallerRequest
-            Request that the generation serves.
+            Request of the generation.
         excluded : set of str
-            Replicas that it must not go to.
+            Names of replicas that must not be chosen.
         tokens : int
             Memory that the generation takes now, in tokens.
         purpose : Purpose
-            What the copy is for.
+            Kind of copy.
         zone : str
-            Zone whose replicas are preferred; this instance's where empty.
+            Availability zone whose replicas are preferred; if empty, this instance's zone.
         """
         question = PlaceQuestion(
             instance="",
@@ -184,15 +186,15 @@
             need=Need(tokens=tokens, longest_pause_s=request.route.event_gap_s),
         )
         found = self.decide(request.service, question)
-        # What is known here is a second old at most: good enough not to ask in vain,
-        # many times a second, for copies that are wanted but not needed.
+        # The local information is at most a second old. It is good enough to avoid sending
+        # many futile queries per second for copies that are only a precaution.
         if found is None and purpose is not Purpose.RESCUE:
             return None
         answer = await self._ask(request.service, question)
         return found if answer is None else self._named(answer)
 
     def _named(self, answer: PlaceAnswer) -> Replica | None:
-        """Return the replica that a coordinator has named, unless it is known to leave."""
+        """Return the replica of a coordinator's answer, unless it may not get new work."""
         listed = answer.replica
         if listed is None:
             return None
@@ -205,26 +207,26 @@
         if service.engine is None:
             return None
         parts = self._parts
-        # The coordinator may not have heard yet of those that are known here to leave.
+        # The coordinator may not know yet that these replicas are leaving.
         leaving = parts.directory.leaving(service.name, parts.clock() - LEAVING_TOLD_S)
         excluded = tuple({*question.excluded, *leaving})
         return await parts.ask_coordinator(structs.replace(question, excluded=excluded))
 
     def start(self, service: Service, question: PlaceQuestion, line: LineState = NO_LINE) -> Start:
-        """Return where and when what a question is about would begin, by what is known here.
+        """Return where and when a request or copy could start, by this instance's information.
 
         Parameters
         ----------
         service : Service
-            Its service.
+            Service of the request.
         question : PlaceQuestion
-            What is asked.
+            Placement query.
         line : LineState
-            What stands between it and room.
+            Requests ahead in the queue.
         """
         need = question.need or Need(question.tokens, question.prompt_tokens)
         if line.ahead:
-            # No replica matters while others go first.
+            # The replicas are irrelevant while other requests are ahead in the queue.
             return best_start((), need, self._parts.random, line, question.terms)
         options = self._options_for(service, question)
         start = best_start(options, need, self._parts.random, line, question.terms)
@@ -233,13 +235,13 @@
         return start
 
     def has_room(self, service: Service, question: PlaceQuestion) -> bool:
-        """Return whether what a question is about would find a place now."""
+        """Return whether a replica has room for a request or copy now."""
         options = self._options_for(service, question)
         random, terms = self._parts.random, question.terms
         return choose(options, question.tokens, random, terms) is not None
 
     def _options_for(self, service: Service, question: PlaceQuestion) -> list[Option]:
-        """Return the replicas that what a question is about may go to."""
+        """Return the replicas that are allowed for a request or copy."""
         excluded = set(question.excluded)
         if question.purpose is Purpose.REQUEST:
             excluded.update(self._cold.full(service))
@@ -251,7 +253,10 @@
         return options
 
     def decide(self, service: Service, question: PlaceQuestion) -> Replica | None:
-        """Return where what a question is about would begin now, by what is known here."""
+        """Return the replica at which a request or copy can start now, if any.
+
+        Uses only this instance's information and asks no coordinator.
+        """
         start = self.start(service, question)
         return self._parts.directory.find(start.replica) if isinstance(start, Begin) else None
 
@@ -260,19 +265,20 @@
         return replica.availability_zone if replica is not None else ""
 
     def hold(self, request: CallerRequest, tried: Set[str]) -> Hold | None:
-        """Return why and until when the replicas that may get a request are held back.
+        """Return why, and until when, a request cannot be sent to any allowed replica.
 
         Parameters
         ----------
         request : CallerRequest
-            The request.
+            Request to place.
         tried : set of str
-            Replicas that it must not go to.
+            Names of replicas that must not be chosen.
 
         Returns
         -------
         Hold or None
-            None where there is no replica or one that is used as usual.
+            None if at least one allowed replica has no backoff, exhausted rate limit or
+            recent refusal, or if there is no replica at all.
         """
         parts = self._parts
         if parts.pacing.is_empty:
@@ -282,7 +288,7 @@
         return parts.pacing.hold(usable, now)
 
     def refusing(self, request: CallerRequest, tried: Set[str]) -> set[str]:
-        """Return the replicas that turn requests away, where a request may go to others."""
+        """Return the replicas that refuse requests; the empty set if all allowed ones do."""
         now = self._parts.clock()
         refuses = self._parts.pacing.refusals.refuses
         usable = self._usable(request, tried, now)
@@ -290,7 +296,7 @@
         return found if len(found) < len(usable) else set()
 
     def _usable(self, request: CallerRequest, tried: Set[str], now: float) -> list[Replica]:
-        """Return the replicas in reach that may get a request."""
+        """Return the reachable replicas that are allowed for a request."""
         zones = request.zones
         return [
             replica
@@ -299,9 +305,10 @@
         ]
 
     def _not_admitted(self, service: Service, within_s: float = 0.0) -> set[str]:
-        """Return the replicas of a service that are held back by what they have asked for.
+        """Return the replicas of a service that have a backoff, rate limit or recent refusal.
 
-        Who asks a coordinator names them to it: it does not know whom a replica told.
+        Queries to a coordinator exclude them, because it does not know what a replica
+        answered to this instance.
         """
         parts = self._parts
         if parts.pacing.is_empty:
--- a/reachlink/requests/_reachable_replicas.py
+++ b/reachlink/requests/_reachable_replicas.py
@@ -1,4 +1,4 @@
-"""Which replicas this instance can reach, and why a request finds none."""
+"""Replicas that this instance can reach, and reasons why a request finds none."""
 
 from collections.abc import Set
 
@@ -7,18 +7,18 @@
 from reachlink.requests._parts import RunnerParts
 from reachlink.upstreams import Replica
 
-# How long a zone is left alone after one of its replicas could not be reached,
-# in seconds: a cut costs each request at most one vain attempt.
+# How long a zone is excluded after one of its replicas could not be reached, in seconds.
+# With this, a network partition costs each request at most one failed attempt.
 CUT_OFF_S = 1.0
 
 
 class ReachableReplicas:
-    """Knows the replicas in reach: those of zones that seem cut off are left alone.
+    """Determines the reachable replicas; excludes those of zones that seem partitioned.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
@@ -30,30 +30,31 @@
         return replica.availability_zone == self._parts.zone
 
     def live(self, service: str, now: float) -> list[Replica]:
-        """Return the live replicas of a service, without those of zones that seem cut off."""
+        """Return the live replicas of a service outside the zones that seem partitioned."""
         live = self._parts.directory.live(service)
         self._cut_off = {zone: until for zone, until in self._cut_off.items() if until > now}
         if self._parts.cut_off():
             return [r for r in live if self.is_near(r)]
-        # A request on a kept connection across a cut is lost with its caller's patience.
+        # A request on a persistent connection across a partition would fail only at its
+        # caller's timeout.
         away = self._cut_off.keys() | self._parts.silent_zones()
         return [r for r in live if r.availability_zone not in away]
 
     def out_of_reach(self, service: str) -> bool:
-        """Return whether this zone is cut off and has no replica of a service."""
+        """Return whether this zone is partitioned and has no replica of a service."""
         if not self._parts.cut_off():
             return False
         return not any(self.is_near(r) for r in self._parts.directory.live(service))
 
     def note_unreachable(self, replica: Replica) -> None:
-        """Note that no connection to a replica could be made: its zone may be cut off."""
+        """Record that the connection to a replica failed: its zone may be partitioned."""
         if not self.is_near(replica):
             self._cut_off[replica.availability_zone] = self._parts.clock() + CUT_OFF_S
 
     def obstacle(self, request: CallerRequest) -> Obstacle | None:
-        """Return why waiting for room is in vain, if it is: no replica may get the request.
+        """Return why no replica may get the request however long it waits, if that is so.
 
-        Before the first list nobody can say.
+        Returns None before the first list of replicas, when this is unknown.
         """
         if not self._parts.directory.is_whole:
             return None
@@ -65,11 +66,11 @@
         return Obstacle.CUT_OFF if self.out_of_reach(service) else None
 
     def _all_out_of_service(self, service: str) -> bool:
-        """Return whether a service has replicas and all are in zones out of service."""
+        """Return whether a service has replicas, all of them in zones out of service."""
         directory = self._parts.directory
         return not directory.live(service) and bool(directory.staying(service))
 
     def _reaches(self, service: str, zones: Set[str]) -> bool:
-        """Return whether a replica of a service can be reached in some zones."""
+        """Return whether a replica of a service is reachable in one of the given zones."""
         reachable = self.live(service, self._parts.clock())
         return any(replica.availability_zone in zones for replica in reachable)
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -1,4 +1,4 @@
-"""What this instance knows of replicas, as far as a choice among them needs it."""
+"""Load and health of replicas as input for the choice among them."""
 
 from reachlink.placement import allowances
 from reachlink.requests._book import ReplicaState
@@ -9,19 +9,19 @@
 from reachlink.scheduling import Option, Pace
 from reachlink.upstreams import Replica
 
-# Replicas that a log line tells of at the most: some 60 B each.
+# Maximum number of replicas in a log line, at about 60 bytes each.
 SHOWN = 8
 
 
 class ReplicaOptions:
-    """Joins what is known of each replica that a request could go to.
+    """Collects the load and health of each replica that a request could be sent to.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     reachable : ReachableReplicas
-        Knows which can be reached.
+        Determines which replicas are reachable.
     """
 
     def __init__(self, parts: RunnerParts, reachable: ReachableReplicas) -> None:
@@ -29,16 +29,16 @@
         self._reachable = reachable
 
     def of(self, service: Service, excluded: set[str], zone: str = "") -> list[Option]:
-        """Return what is known of the replicas of a service that are in reach.
+        """Return the load and health of the reachable replicas of a service.
 
         Parameters
         ----------
         service : Service
-            The service.
+            Service whose replicas are returned.
         excluded : set of str
-            Replicas that are left out.
+            Names of replicas to leave out.
         zone : str
-            Zone whose replicas are near; this instance's where empty.
+            Availability zone whose replicas count as near; if empty, this instance's zone.
         """
         parts = self._parts
         now = parts.clock()
@@ -50,7 +50,7 @@
         return [self._option(service, r, states[r.name], trust[r.name], near, now) for r in live]
 
     def shown(self, service: Service, excluded: set[str]) -> str:
-        """Return what is known of the emptiest replicas of a service, for a log line."""
+        """Return the state of the least loaded replicas of a service as text for a log line."""
         options = sorted(self.of(service, excluded), key=lambda o: (o.tokens, o.running))
         shown = " ".join(
             f"{o.name}:{o.tokens}:{o.used_tokens}+{o.copy_tokens}"
@@ -96,7 +96,7 @@
         )
 
     def _pace(self, service: Service, replica: Replica, now: float) -> Pace | None:
-        """Return how fast a replica works; None where that is not asked for or not told."""
+        """Return the pace of a replica; None if the setting is off or the pace is unknown."""
         parts = self._parts
         if not parts.scheduling.pace:
             return None
--- a/reachlink/requests/_replica_pace.py
+++ b/reachlink/requests/_replica_pace.py
@@ -1,4 +1,4 @@
-"""What answers tell of their replica's pace."""
+"""Observations of the replicas' pace in their answers."""
 
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._parts import RunnerParts
@@ -7,40 +7,40 @@
 
 
 class ReplicaPace:
-    """Notes how fast replicas work, by what they tell and by what is seen of their answers.
+    """Records the pace that replicas report and the pace that is observed in their answers.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
 
     def note_load(self, replica: Replica, load: LoadSample, now: float) -> None:
-        """Note the load that a replica told, and its pace where it told that."""
+        """Record the load that a replica reported, and its pace if it reported one."""
         book = self._parts.book
         book.state(replica.name).take_sample(load, now)
         if load.pace is not None:
             book.paces.note_told(replica.upstream, replica.name, load.pace, now)
 
     def reads_beside(self, replica: Replica) -> bool:
-        """Return whether a replica has prompts to read, which hold up its generations."""
+        """Return whether a replica has prompts to process, which delay its generations."""
         parts = self._parts
         if parts.book.state(replica.name).own_unread_tokens:
             return True
         return parts.shared.at(replica.name, parts.clock()).unread_tokens > 0
 
     def note_rhythm(self, request: CallerRequest, replica: Replica, event_s: float) -> None:
-        """Note the time between the events of a generation while no prompt is read beside it.
+        """Record the interval between events of a generation while no prompt is processed.
 
         Parameters
         ----------
         request : CallerRequest
-            Request that the generation serves.
+            Request of the generation.
         replica : Replica
-            Where it runs.
+            Replica at which the generation runs.
         event_s : float
             Time between two events, in seconds.
         """
@@ -55,16 +55,19 @@
         parts.book.paces.note_seen(replica.upstream, replica.name, event_s / usual_s, now)
 
     def note_call(self, request: CallerRequest, replica: Replica, sent_at: float) -> None:
-        """Note how long a call took that did not wait at its replica, or was given up there.
+        """Record the duration of a call that ended, or was given up, at its replica.
+
+        Calls to model engines and calls that may have waited in the replica's own queue are
+        ignored.
 
         Parameters
         ----------
         request : CallerRequest
-            The call.
+            Request of the call.
         replica : Replica
-            Where it was.
+            Replica that the call was sent to.
         sent_at : float
-            When it was sent there, in monotonic seconds.
+            Monotonic time in seconds at which the call was sent.
         """
         parts, now = self._parts, self._parts.clock()
         if request.service.engine is not None or parts.book.state(replica.name).has_waiting(now):
--- a/reachlink/requests/_shared_load.py
+++ b/reachlink/requests/_shared_load.py
@@ -1,4 +1,7 @@
-"""The sum of what the other instances have at the replicas; pure."""
+"""Total load that the other instances put on each replica.
+
+This module does no input or output.
+"""
 
 from dataclasses import dataclass
 
@@ -6,17 +9,17 @@
 
 from reachlink.requests._load_notes import JOIN_SETTLES_S, LoadNote, ReplicaShare, total
 
-# How long what an instance told last counts, in seconds: each tells its load at
-# least once a second.
+# How long the last message of an instance is valid, in seconds. Each instance sends its load
+# at least once a second.
 KEPT_S = 3.0
-# How long it is known when a silent instance was heard last, in seconds: longer than
-# any zone is waited for to come back.
+# How long the time of an instance's last message is kept, in seconds: longer than
+# instances wait for any zone to become reachable again.
 HEARD_KEPT_S = 600.0
 
 
 @dataclass(slots=True)
 class _Told:
-    """The shares that one instance told, by replica, and when (monotonic seconds)."""
+    """Usage of each replica by one instance, and the monotonic time of its message."""
 
     shares: dict[str, ReplicaShare]
     at: float
@@ -24,16 +27,16 @@
 
 @dataclass(slots=True, frozen=True)
 class _Sum:
-    """What all instances told of one replica.
+    """Cached sum of the usages of one replica.
 
     Attributes
     ----------
     share : ReplicaShare
-        The sum, without the time of the next joint.
+        Sum of the usages, without the time until the next generation resumes.
     joins : tuple of float
-        When generations are expected to go on there, in monotonic seconds.
+        Monotonic times in seconds at which generations are expected to resume there.
     until : float
-        When the first of what was summed up is too old, in monotonic seconds.
+        Monotonic time in seconds at which the first summand expires.
     """
 
     share: ReplicaShare
@@ -41,7 +44,7 @@
     until: float
 
     def at(self, now: float) -> ReplicaShare:
-        """Return the sum with the time until the next joint."""
+        """Return the sum with the time until the next generation resumes."""
         if not self.joins:
             return self.share
         later = [round(at - now, 3) for at in self.joins if at + JOIN_SETTLES_S > now]
@@ -49,7 +52,7 @@
 
 
 class SharedLoad:
-    """The sum of what the other instances told.
+    """Keeps the load that the other instances sent, and sums it up for each replica.
 
     Examples
     --------
@@ -65,17 +68,18 @@
 
     def __init__(self) -> None:
         self._told: dict[str, _Told] = {}
-        # Which instances have requests at a replica: a sum over some ten of them in
-        # place of all that tell.
+        # Instances that have allocations at each replica: a sum goes over about ten of
+        # these instead of over all instances.
         self._present: dict[str, set[str]] = {}
-        # Sums over all instances: a decision asks for each of some hundred replicas, and takes
-        # half as long as where each sum is made anew.
+        # Cached sums over all instances. A decision needs them for about a hundred replicas;
+        # the cache halves its duration.
         self._sums: dict[str, _Sum] = {}
-        # Kept longer than what was told, to know for how long an instance is silent.
+        # Times of the last messages, kept longer than their contents, to know for how long
+        # an instance has been silent.
         self._heard: dict[str, float] = {}
 
     def take(self, note: LoadNote, now: float) -> None:
-        """Take what one instance tells, in place of what it told before."""
+        """Replace the load of one instance by that of its new message."""
         self._heard[note.instance] = now
         self._drop(note.instance)
         self._told[note.instance] = _Told({s.replica: s for s in note.shares}, now)
@@ -84,10 +88,10 @@
             self._sums.pop(share.replica, None)
 
     def add(self, instance: str, share: ReplicaShare, now: float) -> None:
-        """Add to what an instance told, until it tells again.
+        """Add to the load of an instance until its next message.
 
-        For a request that was just placed for it: its own note follows some
-        milliseconds later, and others are placed meanwhile.
+        Used for a request that was just placed for the instance. The instance's own message
+        follows some milliseconds later, and other requests are placed in the meantime.
         """
         if instance in self._told and now - self._told[instance].at > KEPT_S:
             self._drop(instance)
@@ -98,37 +102,37 @@
         self._sums.pop(share.replica, None)
 
     def forget(self, instance: str) -> None:
-        """Drop what an instance told: it tells another one from now on, or is gone."""
+        """Drop the load of an instance that reports to another coordinator or is gone."""
         self._drop(instance)
         self._heard.pop(instance, None)
 
     def forget_silent(self, now: float) -> None:
-        """Drop the instances that have told nothing for long: names come and go."""
+        """Drop instances that have been silent for long, to bound the number of names kept."""
         for instance in [n for n, at in self._heard.items() if now - at > HEARD_KEPT_S]:
             self.forget(instance)
 
     def last_heard(self, instance: str) -> float:
-        """Return when an instance told something last, in monotonic seconds."""
+        """Return the monotonic time in seconds of an instance's last message."""
         return self._heard.get(instance, float("-inf"))
 
     def told_by(self, instance: str, now: float) -> list[ReplicaShare]:
-        """Return what one instance told, with times as of now."""
+        """Return the usages that one instance sent, with time spans as of now."""
         told = self._told.get(instance)
         if told is None or now - told.at > KEPT_S:
             return []
         return [_later(share, now - told.at) for share in told.shares.values()]
 
     def at(self, replica: str, now: float, without: str = "") -> ReplicaShare:
-        """Return the sum of the other instances' requests at a replica.
+        """Return the total usage of a replica by the other instances.
 
         Parameters
         ----------
         replica : str
-            The replica.
+            Name of the replica.
         now : float
             Monotonic time in seconds.
         without : str
-            Instance whose requests are left out.
+            Name of an instance to exclude from the sum.
         """
         if without and without in self._present.get(replica, ()):
             return self._sum(replica, now, without).at(now)
--- a/reachlink/requests/_stake_order.py
+++ b/reachlink/requests/_stake_order.py
@@ -1,32 +1,32 @@
-"""Order by stake: which copies give way first, which generations leave first; pure.
+"""Order of evictions and evacuations by expected loss.
 
-Every entry instance is told of all copies and generations at a replica
-(`MemoryNote`) and computes the same order, so that each knows without another
-message whether it is the turn of its own.
+Every entry instance receives the summaries of all copies and generations at a replica
+(`MemoryNote`) and computes the same order. Each instance therefore knows without
+further messages when its own are next. This module does no input or output.
 """
 
 from collections.abc import Iterable
 
 from reachlink.requests._load_notes import MemoryNote
 
-# Share of a replica's memory, from 0 to 1, beyond which copies give way: the rest
-# is for what grows until all instances have heard of it.
+# Fraction of a replica's memory, from 0 to 1, above which copies are evicted. The rest is for
+# the growth of generations until all instances have learned of it.
 FULL = 0.93
 
 
 def rank(generation: MemoryNote, others: Iterable[MemoryNote]) -> int:
-    """Return how many other generations at a replica should be copied away before one.
+    """Return the number of generations at a replica to evacuate before the given one.
 
-    The most at stake goes first: a replica's link takes one copy after the other,
-    and its notice is too short for all.
+    Generations with the highest expected loss go first: the network link of a replica
+    transfers one copy after the other, and a shutdown notice is too short for all.
 
     Parameters
     ----------
     generation : MemoryNote
-        The generation.
+        Generation whose rank is returned.
     others : iterable of MemoryNote
-        Those at the replica that no other replica has a copy of; the generation
-        itself may be among them.
+        Generations at the replica that no other replica has a copy of; may include
+        `generation`.
 
     Examples
     --------
@@ -41,16 +41,16 @@
 def gives_way(
     copy: MemoryNote, copies: Iterable[MemoryNote], firm_tokens: int, capacity_tokens: int
 ) -> bool:
-    """Return whether a copy is among those that have to make room.
+    """Return whether a copy has to be evicted to make room.
 
     Parameters
     ----------
     copy : MemoryNote
-        The copy.
+        Copy to decide on.
     copies : iterable of MemoryNote
-        All copies at the replica that give way, this one included.
+        All evictable copies at the replica, including `copy`.
     firm_tokens : int
-        Memory that is taken by what does not give way, in tokens.
+        Memory that is not evictable, in tokens.
     capacity_tokens : int
         Memory of the replica, in tokens.
 
--- a/reachlink/requests/_timely_placing.py
+++ b/reachlink/requests/_timely_placing.py
@@ -1,4 +1,4 @@
-"""Choosing a replica for a request in the time that it has: it may wait for room, or a permit."""
+"""Choice of a replica for a request that may wait for room or for a permit."""
 
 import asyncio
 from typing import Any
@@ -23,14 +23,14 @@
 
 
 class TimelyPlacing:
-    """Chooses replicas for requests that may wait a little.
+    """Chooses replicas for requests that may wait for a limited time.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Shared components of the request runner.
     placing : Placing
-        Chooses out of what is known at a moment.
+        Chooses a replica without waiting.
     """
 
     def __init__(self, parts: RunnerParts, placing: Placing) -> None:
@@ -40,7 +40,7 @@
         self._log: Any = get_logger()
 
     async def place_or_wait(self, request: CallerRequest, tried: set[str]) -> Replica | None:
-        """Return the replica that a request should go to, after a short wait for room."""
+        """Return the replica that a request should be sent to, after a short wait if needed."""
         parts = self._parts
         request.relay.admitted = False
         request.refusal = None
@@ -55,7 +55,7 @@
                 return replica
             pause_s = None
             if request.refusal is None and self._placing.reachable.obstacle(request) is None:
-                # One that has just become free is looked at again.
+                # The hold may have changed during the placement.
                 hold = self._placing.hold(request, tried) or hold
                 held_s = hold.left_s if hold is not None else None
                 pause_s = pause_before_look(request, parts.clock(), held_s)
@@ -72,7 +72,7 @@
     async def _look(
         self, request: CallerRequest, tried: set[str], calm_only: bool, hold: Hold | None
     ) -> Replica | None:
-        """Return a replica that a request may go to now, by the line or without one."""
+        """Return a replica that a request may be sent to now, using the queue if it has one."""
         if hold is None and self._line.serves(request):
             found = await self._line.place(request, tried)
             if isinstance(found, Refuse):
@@ -85,7 +85,7 @@
         return replica
 
     async def _gets_first_list(self, request: CallerRequest) -> bool:
-        """Return whether this instance has a whole list of replicas, after a wait if need be."""
+        """Wait for the first whole list of replicas; return whether this instance has one."""
         parts = self._parts
         while not parts.directory.is_whole:
             if parts.clock() >= first_list_until(request):
@@ -96,11 +96,11 @@
     async def _place_with_permit(
         self, request: CallerRequest, tried: set[str], calm_only: bool, left_s: float
     ) -> Replica | None:
-        """Return the replica with a limit that has a permit for a request first, after the wait.
+        """Return the replica whose rate limit gives the earliest permit, after waiting for it.
 
-        All replicas are held back, and the first may get something in `left_s` seconds. The
-        permit is taken before the wait: who looked again only then would find that others had
-        come first, and callers would be served by chance in place of in their order.
+        All replicas are held, the first one for `left_s` seconds. The permit is reserved
+        before the wait. If requests checked again only after the wait, other requests could
+        overtake them, and callers would be served in random order instead of arrival order.
         """
         parts = self._parts
         patience_s = permit_patience_s(request, parts.clock())
@@ -112,10 +112,11 @@
         try:
             await parts.admit(replica.address, patience_s)
         except UpstreamHeldBackError:
-            # Others have taken the permits before its patience ends; the next look knows.
+            # Other requests have reserved the permits until after this request's time limit.
+            # The next check takes that into account.
             return None
         if not self._placing.takes_work(replica):
-            # It has been found to leave during the wait.
+            # The replica was found to be leaving, or its zone was taken out of service.
             return None
         request.relay.admitted = True
         return replica
