--- a/reachlink/lengths/__init__.py
+++ b/reachlink/lengths/__init__.py
@@ -1,4 +1,4 @@
-"""Estimates of how long answers will be, learned from finished and unfinished ones."""
+"""Estimates answer lengths, learned from finished and unfinished answers."""
 
 from reachlink.lengths._buckets import BUCKET_COUNT, bucket_of, bucket_start
 from reachlink.lengths._estimator import LengthEstimator, LengthKey
--- a/reachlink/lengths/_buckets.py
+++ b/reachlink/lengths/_buckets.py
@@ -9,7 +9,7 @@
 
 
 def bucket_of(length: int) -> int:
-    """Return the number of the bucket that a length in tokens falls into."""
+    """Return the index of the bucket that contains a length in tokens."""
     return bisect_right(_STARTS, length) - 1
 
 
@@ -19,7 +19,7 @@
 
 
 def bucket_width(bucket: int) -> int:
-    """Return the width of a bucket, in tokens; the last one is as wide as its start."""
+    """Return the width of a bucket in tokens; the width of the last one equals its start."""
     if bucket + 1 < BUCKET_COUNT:
         return _STARTS[bucket + 1] - _STARTS[bucket]
     return _STARTS[-1]
--- a/reachlink/lengths/_estimator.py
+++ b/reachlink/lengths/_estimator.py
@@ -1,11 +1,10 @@
-"""Online estimation of answer lengths with censored observations.
+"""Online estimation of answer lengths from censored observations.
 
-For each key the number of answers that reached a length bucket and the
-number that ended in it are counted, which gives the hazard of each bucket as
-in the Kaplan-Meier estimator [1]_: an answer that is still growing, or was
-cut off, counts for the buckets that it has passed and not for those ahead.
-Counts fade with each observation, so that drift is followed. Where a key has
-few observations its hazards shrink towards those of its parent.
+For each key, the estimator counts the answers that reached each length bucket and those that
+ended in it, which gives the hazard of each bucket as in the Kaplan-Meier estimator [1]_: an
+answer that is still growing, or was cut off, counts for the buckets that it has reached and not
+for later ones. Counts decay with each finished answer, so that the estimate follows drift. The
+hazards of a key with few observations shrink towards those of its parent.
 
 References
 ----------
@@ -22,7 +21,7 @@
 from reachlink.lengths._buckets import BUCKET_COUNT, bucket_of
 from reachlink.lengths._survival import SurvivalCurve
 
-# Each bucket ends this share of the answers that reach it, until told otherwise.
+# Prior probability that an answer that reaches a bucket ends in it.
 PRIOR_HAZARD = 0.25
 PRIOR_STRENGTH = 6.0
 PARENT_STRENGTH = 10.0
@@ -33,13 +32,13 @@
 
 @dataclass(slots=True, frozen=True)
 class LengthKey:
-    """What lengths are learned for; an empty workspace stands for all of them."""
+    """Group of answers with one length distribution; an empty workspace means all workspaces."""
 
     service: str
     workspace: str = ""
 
     def parent(self) -> LengthKey | None:
-        """Return the key to fall back to."""
+        """Return the more general key to fall back to, or None for the root."""
         if self.workspace:
             return LengthKey(self.service)
         return LengthKey("") if self.service else None
@@ -59,12 +58,12 @@
 
 
 class LengthEstimator:
-    """Learned lengths of all keys.
+    """Learned length distributions of all keys.
 
     Parameters
     ----------
     max_keys : int
-        Bound on the number of keys held; the least recently used go first.
+        Maximum number of keys held; the least recently used are dropped first.
 
     Examples
     --------
@@ -84,18 +83,18 @@
         return len(self._counts)
 
     def observe(self, key: LengthKey, seen: int, tokens: int, ended: bool) -> None:
-        """Take what became of an answer since it was last reported.
+        """Record the progress of an answer since it was last reported.
 
         Parameters
         ----------
         key : LengthKey
-            Where the answer belongs; its parents learn as well.
+            Key of the answer; the parents of the key learn from it as well.
         seen : int
             Tokens at the last report; 0 for a new answer.
         tokens : int
             Tokens now.
         ended : bool
-            Whether the answer ended by itself at this length.
+            Whether the answer ended on its own at this length.
         """
         level: LengthKey | None = key
         while level is not None:
@@ -103,7 +102,7 @@
             level = level.parent()
 
     def curve(self, key: LengthKey) -> SurvivalCurve:
-        """Return the survival curve of a key, or of its parents where it is new."""
+        """Return the survival curve of a key, or of its nearest known parent if the key is new."""
         counts = self._counts.get(key)
         if counts is None:
             parent = key.parent()
@@ -118,7 +117,8 @@
     def _observe_one(self, key: LengthKey, seen: int, tokens: int, ended: bool) -> None:
         counts = self._held(key)
         last = bucket_of(tokens)
-        # A bucket counts as reached from the moment that the answer enters it.
+        # An answer that is in a bucket has reached it; the bucket of the last report is already
+        # counted.
         first = bucket_of(seen) + 1 if seen else 0
         for bucket in range(first, last + 1):
             counts.reached[bucket] += 1.0
--- a/reachlink/lengths/_survival.py
+++ b/reachlink/lengths/_survival.py
@@ -13,11 +13,11 @@
     Parameters
     ----------
     hazards : sequence of float, shape (BUCKET_COUNT,)
-        Probability to end in each bucket for an answer that reaches it.
+        For each bucket, the probability that an answer that reaches it ends in it.
 
     Notes
     -----
-    Within a bucket the curve is linear.
+    The curve is linear within a bucket.
     """
 
     __slots__ = ("_survival",)
@@ -37,11 +37,11 @@
         return start + (end - start) * min(1.0, share)
 
     def still_running(self, tokens: int, more: int) -> float:
-        """Return the probability of `more` tokens after `tokens` that are out."""
+        """Return the probability that an answer of `tokens` tokens has `more` further tokens."""
         return self.longer_than(tokens + more) / max(_LEAST, self.longer_than(tokens))
 
     def expected_more(self, tokens: int) -> float:
-        """Return the expected number of tokens after `tokens` that are out."""
+        """Return the expected number of further tokens of an answer of `tokens` tokens."""
         first = bucket_of(tokens)
         alive = max(_LEAST, self.longer_than(tokens))
         total = 0.0
--- a/reachlink/limits/__init__.py
+++ b/reachlink/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Limits, fairness and budgets."""
+"""Quotas of workspaces, fair queueing, and budgets for memory, bytes in flight and retries."""
 
 from reachlink.limits._drain_rate import DrainRate
 from reachlink.limits._fair_queue import FairQueue, Waiting
--- a/reachlink/limits/_drain_rate.py
+++ b/reachlink/limits/_drain_rate.py
@@ -1,7 +1,7 @@
-"""How fast a queue drains while it is not empty; pure.
+"""Estimates how fast a queue drains, from the time while it is not empty; pure.
 
-Only busy time counts: the rate at which requests pass an empty queue is that
-of their arrivals and says nothing of how fast waiting ones would be served.
+Only busy time counts: the rate at which requests pass through an empty queue is their arrival
+rate and does not tell how fast queued requests are served.
 """
 
 from dataclasses import dataclass
@@ -11,38 +11,49 @@
 
 @dataclass(slots=True)
 class DrainRate:
-    """Requests served from a queue per second of busy time, fading."""
+    """Exponentially decaying rate of requests served from a queue.
+
+    Attributes
+    ----------
+    drained : float
+        Decayed number of requests served.
+    busy_s : float
+        Decayed time in seconds during which the queue was not empty.
+    since : float, optional
+        Monotonic time in seconds of the last update of a queue that is not empty; None while
+        the queue is empty.
+    """
 
     drained: float = 0.0
     busy_s: float = 0.0
     since: float | None = None
 
     def on_busy(self, now: float) -> None:
-        """The queue is not empty."""
+        """Record that the queue is not empty."""
         if self.since is not None:
             self._pass(now - self.since)
         self.since = now
 
     def on_idle(self, now: float) -> None:
-        """The queue is empty."""
+        """Record that the queue is empty."""
         if self.since is not None:
             self._pass(now - self.since)
         self.since = None
 
     def on_drained(self, now: float) -> None:
-        """A waiting request was served."""
+        """Record that a queued request was served."""
         self.drained += 1.0
 
     def expected_wait_s(self, position: int, now: float) -> float:
-        """Return how long a request waits that is served as number `position`.
+        """Return the expected wait in seconds of a request at a queue position, counted from 1.
 
-        As long as nothing is known the answer is 0: a request is not refused
-        for a wait that nobody has measured.
+        Returns 0 until the queue has been busy for some time, so that no request is refused
+        for a wait that was never observed.
         """
         busy = self.busy_s + (now - self.since if self.since is not None else 0.0)
         if busy <= 0.0:
             return 0.0
-        # One more than was seen: a queue that has just filled is not stuck yet.
+        # Adds one to the observed count: a queue that has just filled is not considered stuck yet.
         return position * busy / (self.drained + 1.0)
 
     def _pass(self, passed_s: float) -> None:
--- a/reachlink/limits/_fair_queue.py
+++ b/reachlink/limits/_fair_queue.py
@@ -1,8 +1,8 @@
-"""Queue of waiting requests: priorities with aging, weighted fairness; pure.
+"""Queue of waiting requests with priorities, aging and weighted fairness; pure.
 
-Within one priority, workspaces share by weight: each request gets a start
-tag as in start-time fair queueing [1]_, with its expected tokens as its
-length. Waiting raises the priority, so that nothing waits for ever.
+Within one priority, workspaces share the service by weight: each request gets a start tag as
+in start-time fair queueing [1]_, with its expected tokens as its length. The priority of a
+request increases while it waits, so that no request starves.
 
 References
 ----------
@@ -19,22 +19,26 @@
 
 @dataclass(slots=True, eq=False)
 class Waiting(Generic[T]):
-    """One waiting request.
+    """A queued request.
 
     Attributes
     ----------
     item : object
-        What waits.
+        The request.
     workspace : str
-        Whose it is.
+        Workspace of the request.
     priority : int
-        Higher goes first.
+        Requests with a higher priority run first.
     weight : float
-        Share of the workspace.
+        Weight of the workspace.
     cost : float
         Expected work, in tokens.
-    since, deadline : float
-        Monotonic seconds; past the deadline it is refused.
+    since : float
+        Monotonic time in seconds at which the request was queued.
+    deadline : float
+        Monotonic time in seconds after which the request is refused.
+    start_tag : float
+        Virtual start time, set by `FairQueue.push`.
     """
 
     item: T
@@ -49,7 +53,7 @@
 
 @dataclass(slots=True)
 class FairQueue(Generic[T]):
-    """Requests that wait in one entry instance for one upstream."""
+    """Requests queued in one entry instance for one upstream."""
 
     _waiting: list[Waiting[T]] = field(default_factory=list)
     _finish_tags: dict[str, float] = field(default_factory=dict)
@@ -59,7 +63,7 @@
         return len(self._waiting)
 
     def count(self, workspace: str) -> int:
-        """Return how many requests of a workspace wait."""
+        """Return the number of queued requests of a workspace."""
         return sum(1 for w in self._waiting if w.workspace == workspace)
 
     def push(self, waiting: Waiting[T]) -> None:
@@ -70,7 +74,7 @@
         self._waiting.append(waiting)
 
     def remove(self, waiting: Waiting[T]) -> None:
-        """Take a request out, wherever it stands."""
+        """Remove a request, if it is queued."""
         if waiting in self._waiting:
             self._waiting.remove(waiting)
             self._tidy()
@@ -80,19 +84,19 @@
         return sorted(self._waiting, key=lambda w: _order(w, now))
 
     def take(self, waiting: Waiting[T]) -> None:
-        """Take out a request that runs now."""
+        """Remove a request that is about to run."""
         self._virtual_time = max(self._virtual_time, waiting.start_tag)
         self.remove(waiting)
 
     def expired(self, now: float) -> list[Waiting[T]]:
-        """Take out and return the requests whose deadline has passed."""
+        """Remove and return the requests whose deadline has passed."""
         late = [w for w in self._waiting if w.deadline <= now]
         for waiting in late:
             self.remove(waiting)
         return late
 
     def shed(self, now: float) -> Waiting[T] | None:
-        """Take out and return the request that would run last."""
+        """Remove and return the request that would run last."""
         if not self._waiting:
             return None
         last = max(self._waiting, key=lambda w: _order(w, now))
--- a/reachlink/limits/_held_bytes.py
+++ b/reachlink/limits/_held_bytes.py
@@ -1,43 +1,45 @@
-"""How many bytes an instance holds for others, against one budget of its memory; pure.
+"""Accounts for the bytes that an instance buffers for callers, against one budget; pure.
 
-The load that it answers: many callers that send long bodies at once or slowly, callers that do
-not read their answers, replicas that do not read their requests. Each of them holds a bounded
-part, and what is small goes on while the large is refused.
+The budget protects against many callers that send long bodies at once or slowly, callers that
+do not read their answers, and replicas that do not read their requests. The memory of each
+caller is bounded, and short bodies are still admitted while long ones are refused.
 """
 
 from collections.abc import Callable
 from enum import Enum
 
-# From which part of the budget on no long body begins, and until which none does again. Answers
-# that are ahead of their callers end at the low mark: callers who read nothing refuse nobody.
+# High and low watermarks, as shares of the budget. Once the high watermark is reached, no long
+# body is admitted until usage falls to the low one. Buffering of answers ahead of their callers
+# stops above the low watermark, so that callers that do not read cause no refusals.
 HIGH_PART = 0.75
 LOW_PART = 0.6
-# Part of the budget that one caller may hold.
+# Share of the budget that one caller may use.
 CALLER_PART = 1 / 3
-# Part of it that an answer may be ahead of its caller while it comes in.
+# Share of the budget that one incoming answer may occupy ahead of its caller.
 AHEAD_PART = 1 / 16
-# A body up to so many bytes is short: the part above the high mark is for short ones, and
-# for whole answers.
+# Largest size in bytes of a short body. The part of the budget above the high watermark is
+# reserved for short bodies and complete answers.
 SHORT_BYTES = 16 << 10
-# A body whose sender does not say how long it is counts as this long before it comes in.
+# Size in bytes assumed for a body of undeclared length before it arrives, so that it counts as
+# long.
 UNTOLD_BYTES = SHORT_BYTES + 1
 
 
 class HeldKind(Enum):
-    """What is held."""
+    """What memory is used for."""
 
-    INCOMING = "incoming"  # bodies that come in
-    REQUEST = "request"  # bodies of requests that wait or run
-    ANSWER = "answer"  # answers that were not read yet
+    INCOMING = "incoming"  # bodies being received
+    REQUEST = "request"  # bodies of requests that are queued or running
+    ANSWER = "answer"  # answers that their callers have not read yet
 
 
 class HeldBytes:
-    """The budget of one instance.
+    """Memory budget of one instance for bodies and answers.
 
     Parameters
     ----------
     limit : int
-        Bytes to hold at the most; 0 for any number, of which no account is kept then.
+        Bytes that may be held at the most; 0 for no limit, in which case nothing is counted.
     """
 
     def __init__(self, limit: int = 0) -> None:
@@ -47,17 +49,18 @@
         self._held = dict.fromkeys(HeldKind, 0)
         self._total = 0
         self._pressed = False
-        # Called as the high mark is passed, and as the low one is reached again.
+        # Called with True when the high watermark is reached, and with False when usage falls to
+        # the low one again.
         self.on_pressed: Callable[[bool], None] = lambda pressed: None
 
     @property
     def limited(self) -> bool:
-        """Whether there is a budget."""
+        """Whether there is a limit."""
         return self._limit > 0
 
     @property
     def limit(self) -> int:
-        """Bytes to hold at the most; 0 for any number."""
+        """Bytes that may be held at the most; 0 for no limit."""
         return self._limit
 
     @property
@@ -67,22 +70,22 @@
 
     @property
     def pressed(self) -> bool:
-        """Whether no long body may begin."""
+        """Whether long bodies are refused, until usage falls to the low watermark."""
         return self._pressed
 
     @property
     def may_run_ahead(self) -> bool:
-        """Whether answers that come in may be ahead of their callers."""
+        """Whether incoming answers may be buffered ahead of their callers."""
         return self._total <= self._low
 
     @property
     def caller_bytes(self) -> int:
-        """Bytes that one caller may hold at the most."""
+        """Bytes that one caller may use at the most."""
         return int(self._limit * CALLER_PART)
 
     @property
     def ahead_bytes(self) -> int:
-        """Bytes that an answer may be ahead of its caller while it comes in."""
+        """Bytes that one incoming answer may occupy ahead of its caller at the most."""
         return int(self._limit * AHEAD_PART)
 
     def of(self, kind: HeldKind) -> int:
@@ -90,12 +93,12 @@
         return self._held[kind]
 
     def admits(self, size: int) -> bool:
-        """Return whether a body may begin to come in.
+        """Return whether a body may be received.
 
         Parameters
         ----------
         size : int
-            Its bytes as its sender says; `UNTOLD_BYTES` where it does not.
+            Size of the body in bytes as declared by the sender; `UNTOLD_BYTES` if undeclared.
         """
         if not self._limit:
             return True
@@ -106,11 +109,11 @@
         return self._total + size <= self._high
 
     def has_room(self, size: int, long: bool) -> bool:
-        """Return whether some bytes more may be held, as part of a long body or not."""
+        """Return whether `size` more bytes may be held, for a long body or otherwise."""
         return self._total + size <= (self._high if long else self._limit)
 
     def change(self, kind: HeldKind, size: int) -> None:
-        """Note that so many bytes more are held; fewer where negative."""
+        """Add `size` bytes to the bytes held; a negative number releases bytes."""
         self._held[kind] += size
         self._total += size
         pressed = self._total >= self._high or (self._pressed and self._total > self._low)
@@ -119,18 +122,18 @@
             self.on_pressed(pressed)
 
     def turn(self, kind: HeldKind, into: HeldKind, size: int) -> None:
-        """Note that so many bytes of one kind are of another from now on: no mark is passed."""
+        """Move `size` bytes from one kind to another; the total does not change."""
         self._held[kind] -= size
         self._held[into] += size
 
 
 class Holding:
-    """What is held for one caller.
+    """Memory used for one caller.
 
     Parameters
     ----------
     budget : HeldBytes
-        What it counts against.
+        Budget of the instance.
     """
 
     __slots__ = ("_budget", "_held")
@@ -141,7 +144,7 @@
 
     @property
     def limited(self) -> bool:
-        """Whether there is a budget."""
+        """Whether the budget has a limit."""
         return self._budget.limited
 
     @property
@@ -154,22 +157,22 @@
         return self._held[kind]
 
     def admits(self, size: int) -> bool:
-        """Return whether a body may begin to come in, as `HeldBytes.admits` says."""
+        """Return whether a body may be received; see `HeldBytes.admits`."""
         return self._budget.admits(size)
 
     def could_ever(self, size: int) -> bool:
-        """Return whether one caller may hold so many bytes more, if there is room."""
+        """Return whether `size` more bytes would stay within the limit of one caller."""
         return not self.limited or self.total + size <= self._budget.caller_bytes
 
     def take(self, kind: HeldKind, size: int) -> bool:
-        """Hold some bytes more, if there is room; return whether there was.
+        """Reserve bytes if there is room; return whether there was.
 
         Parameters
         ----------
         kind : HeldKind
-            What they are.
+            What the bytes are used for.
         size : int
-            How many.
+            Number of bytes.
         """
         if not self.limited:
             return True
@@ -182,16 +185,17 @@
         return True
 
     def note(self, kind: HeldKind, size: int) -> bool:
-        """Note how many bytes of a kind are held; return whether more may be.
+        """Set the number of bytes held of one kind; return whether more may be held.
 
-        For answers that are ahead of their callers, whose bytes are held room or not.
+        For answers buffered ahead of their callers, whose bytes are in memory whether or not
+        there is room for them.
 
         Parameters
         ----------
         kind : HeldKind
-            What they are.
+            What the bytes are used for.
         size : int
-            How many in all.
+            Total number of bytes of this kind.
         """
         if not self.limited:
             return True
@@ -199,14 +203,14 @@
         return self._budget.may_run_ahead and self.could_ever(0)
 
     def turn(self, kind: HeldKind, into: HeldKind) -> None:
-        """Note that what was of one kind is of another from now on."""
+        """Move all bytes of one kind to another kind."""
         size = self._held[kind]
         self._held[kind] -= size
         self._held[into] += size
         self._budget.turn(kind, into, size)
 
     def release(self) -> None:
-        """Note that nothing is held any more."""
+        """Release everything held for this caller."""
         for kind, size in self._held.items():
             self._change(kind, -size)
 
--- a/reachlink/limits/_quotas.py
+++ b/reachlink/limits/_quotas.py
@@ -1,11 +1,10 @@
 """Limits of workspaces, shared among entry instances by demand; pure.
 
-Each instance tells the others, in the digest that it sends anyway, how much
-of each limited workspace's traffic it sees. The share of an instance is the
-limit times its part of the whole demand, with a small floor for an instance
-that sees none yet. All instances compute the same shares from the same
-demands; they disagree for as long as a digest is under way, which bounds the
-error: see ``docs/design/limits.md``.
+Each instance reports to the others, in its periodic digest, how much of each limited
+workspace's traffic it receives. An instance's share of a limit is its part of the total demand,
+with a small minimum for an instance that receives no traffic yet. All instances compute
+the same shares from the same demands. The shares are inconsistent while a digest is in transit,
+which bounds the error: see ``docs/design/limits.md``.
 """
 
 from collections.abc import Mapping
@@ -18,7 +17,7 @@
 
 
 class RefusalReason(Enum):
-    """Which limit stood in the way."""
+    """Which limit was exceeded."""
 
     CONCURRENT = "concurrent requests"
     REQUESTS = "requests per second"
@@ -27,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refusal:
-    """A refusal with the time after which a retry may succeed, in seconds."""
+    """A refusal with the time in seconds after which a retry may succeed."""
 
     reason: RefusalReason
     retry_after_s: float
@@ -35,7 +34,7 @@
 
 @dataclass(slots=True, frozen=True)
 class QuotaLimits:
-    """Limits in force for one workspace in one service; 0 for none."""
+    """Limits in force for one workspace in one service; 0 for no limit."""
 
     concurrent: int = 0
     requests_per_s: float = 0.0
@@ -43,7 +42,7 @@
 
     @property
     def any(self) -> bool:
-        """Whether there is a limit at all."""
+        """Whether any of the limits is set."""
         return bool(self.concurrent or self.requests_per_s or self.tokens_per_s)
 
 
@@ -52,7 +51,7 @@
     running: int = 0
     demand: float = 0.0
     demand_at: float = 0.0
-    # A new bucket is full: `_refill` cuts it to its size.
+    # A new token bucket is full: `_refill` reduces it to its capacity.
     requests: float = float("inf")
     tokens: float = float("inf")
     refilled_at: float = 0.0
@@ -64,15 +63,15 @@
     Parameters
     ----------
     own, others : float
-        Demand seen here, and by all other instances.
+        Demand at this instance, and at all other instances.
     instances : int
-        Instances that share the limit, this one included.
+        Number of instances that share the limit, including this one.
 
     Returns
     -------
     float
-        Between 0 and 1; the shares of all instances sum to 1 when they know
-        each other's demand.
+        Share between 0 and 1; the shares of all instances sum to 1 if they know each other's
+        demand.
     """
     if instances <= 1:
         return 1.0
@@ -84,13 +83,13 @@
 
 
 class QuotaBook:
-    """Usage of all limited workspaces in one entry instance."""
+    """Usage by all limited workspaces in one entry instance."""
 
     def __init__(self) -> None:
         self._usage: dict[str, _Usage] = {}
 
     def demands(self, now: float) -> dict[str, float]:
-        """Return the demand seen here for each limited workspace."""
+        """Return the demand at this instance for each limited workspace."""
         for key in [k for k, u in self._usage.items() if _is_idle(u, now)]:
             del self._usage[key]
         return {key: _decayed(usage, now) for key, usage in self._usage.items()}
@@ -103,7 +102,7 @@
         instances: int,
         now: float,
     ) -> Refusal | None:
-        """Count a request in, or say which limit stands in the way.
+        """Admit a request and count it, or return which limit it exceeds.
 
         Parameters
         ----------
@@ -112,16 +111,16 @@
         limits : QuotaLimits
             Limits in force over all instances.
         others : mapping of str to float
-            Demand that the other instances see, by key.
+            Demand at the other instances, by key.
         instances : int
-            Instances that share the limit.
+            Number of instances that share the limit.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         Refusal or None
-            None where the request is admitted; `release` must follow.
+            None if the request is admitted; the caller must then call `release` when it ends.
         """
         if not limits.any:
             return None
@@ -137,7 +136,7 @@
         return refusal
 
     def release(self, key: str, tokens: int) -> None:
-        """Count a request out that produced this many tokens."""
+        """Record the end of an admitted request that produced `tokens` tokens."""
         usage = self._usage.get(key)
         if usage is not None:
             usage.running = max(0, usage.running - 1)
@@ -155,7 +154,7 @@
 def _refill(usage: _Usage, limits: QuotaLimits, share: float, now: float) -> None:
     passed = now - usage.refilled_at
     usage.refilled_at = now
-    # A bucket holds a whole request at least, or a small share would never admit one.
+    # The capacity is at least one request; otherwise a small share would never admit any.
     most = max(1.0, limits.requests_per_s * share * BURST_S)
     usage.requests = min(most, usage.requests + limits.requests_per_s * share * passed)
     most = limits.tokens_per_s * share * BURST_S
--- a/reachlink/limits/_retries.py
+++ b/reachlink/limits/_retries.py
@@ -1,4 +1,4 @@
-"""Retry budgets and backoff.
+"""Retry budgets and exponential backoff with jitter.
 
 References
 ----------
@@ -16,14 +16,14 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Retries allowed as a share of first attempts, for one upstream.
+    """Budget of retries for one upstream, replenished by a share of first attempts.
 
     Attributes
     ----------
     saved : float
-        Retries that are allowed now.
+        Retries that are available now.
     most : float
-        Most that may be saved up.
+        Retries that may accumulate at the most.
     """
 
     saved: float = EARNED_AT_START
@@ -31,15 +31,15 @@
 
     @property
     def has_one(self) -> bool:
-        """Whether a retry is allowed now."""
+        """Whether a retry is available now."""
         return self.saved >= 1.0
 
     def on_first_attempt(self, share: float) -> None:
-        """A request was dispatched for the first time."""
+        """Add `share` of a retry, since a request was dispatched for the first time."""
         self.saved = min(self.most, self.saved + share)
 
     def take(self) -> bool:
-        """Return whether a retry is allowed, and count it."""
+        """Consume a retry if one is available; return whether there was one."""
         if not self.has_one:
             return False
         self.saved -= 1.0
@@ -47,6 +47,6 @@
 
 
 def backoff_s(attempt: int, random: Random) -> float:
-    """Return a wait before retry number `attempt` (from 1), in seconds, with full jitter."""
+    """Return the wait in seconds before retry number `attempt` (from 1), with full jitter."""
     longest = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2.0 ** (attempt - 1))
     return random.uniform(0.0, longest)
--- a/reachlink/limits/_sent_bytes.py
+++ b/reachlink/limits/_sent_bytes.py
@@ -1,28 +1,28 @@
-"""How many bytes of requests one instance has at each replica; pure.
+"""Bounds the bytes of requests that one instance has in flight at each replica; pure.
 
-The load that it answers: long bodies that a replica holds until their answers end, sent by many
-instances at once. No instance knows the sum, so that each keeps to a share of what a replica is
-taken to hold; the sum is kept where their loads are alike, and exceeded by those that send more
-than their share of long bodies at one time.
+The bound protects replicas, which hold long bodies until their answers end, from many instances
+that send at once. No instance knows the total, so each keeps to an equal share of an assumed
+capacity of the replica. The total stays within the capacity if the loads of the instances are
+similar, and exceeds it if some instances send more than their share of long bodies at once.
 """
 
 from reachlink.limits._held_bytes import SHORT_BYTES
 
-# What a replica is taken to hold of requests from all instances, in bytes.
+# Assumed capacity of a replica for requests from all instances, in bytes.
 REPLICA_BYTES = 64 << 20
-# What one instance may have there in any case, in bytes.
+# Smallest share of one instance, in bytes.
 LEAST_SHARE_BYTES = 2 << 20
 
 
 class SentBytes:
-    """Bytes of requests under way, a replica.
+    """Bytes of requests in flight, by replica.
 
     Parameters
     ----------
     whole : int
-        What a replica holds of all instances' requests, in bytes.
+        Capacity of a replica for requests from all instances, in bytes.
     least : int
-        What one instance may have there in any case, in bytes.
+        Smallest share of one instance, in bytes.
     """
 
     def __init__(self, whole: int = REPLICA_BYTES, least: int = LEAST_SHARE_BYTES) -> None:
@@ -31,20 +31,21 @@
         self._sent: dict[str, int] = {}
 
     def at(self, replica: str) -> int:
-        """Return the bytes that are at a replica."""
+        """Return the bytes in flight at a replica."""
         return self._sent.get(replica, 0)
 
     def full(self, size: int, instances: int) -> frozenset[str]:
-        """Return the replicas that should get no request of a size now.
+        """Return the replicas that should not get a request of the given size now.
 
-        One that has nothing gets any, and a short one may go anywhere.
+        A replica without requests from this instance accepts any size, and a short request may
+        go to any replica.
 
         Parameters
         ----------
         size : int
-            Bytes of the request's body.
+            Size of the request's body in bytes.
         instances : int
-            Instances that send to the replicas, this one included.
+            Number of instances that send to the replicas, including this one.
         """
         if size <= SHORT_BYTES:
             return frozenset()
@@ -52,12 +53,12 @@
         return frozenset(name for name, sent in self._sent.items() if sent + size > share)
 
     def add(self, replica: str, size: int) -> None:
-        """Note that a request is sent."""
+        """Record that a request was sent to a replica."""
         if size:
             self._sent[replica] = self._sent.get(replica, 0) + size
 
     def remove(self, replica: str, size: int) -> None:
-        """Note that it is there no more."""
+        """Record that a request at a replica has ended."""
         left = self._sent.get(replica, 0) - size
         if left > 0:
             self._sent[replica] = left
--- a/reachlink/pacing/__init__.py
+++ b/reachlink/pacing/__init__.py
@@ -1,4 +1,4 @@
-"""What replicas ask of those who send to them: when to stop, and how much to send together."""
+"""Flow control that replicas request from their senders: backoffs and rate limits."""
 
 from reachlink.pacing._backoffs import BackoffBook
 from reachlink.pacing._book import Hold, HoldReason, PacingBook, PacingKind
--- a/reachlink/pacing/_backoffs.py
+++ b/reachlink/pacing/_backoffs.py
@@ -1,49 +1,50 @@
-"""Which replicas have asked this instance for a backoff, and how they come back; pure.
+"""Tracks replicas that asked this instance for a backoff, and their gradual return; pure.
 
-A replica that turns a request away may say for how long it wants nothing more from who
-asked. That outlives the request that heard it and binds whatever is sent: first tries,
-repeats, continuations, reports and orders.
+A replica that rejects a request may say for how long it wants no further requests from
+the sender. The backoff outlives the rejected request and applies to everything that is
+sent: first attempts, retries, continuations, reports and control requests.
 """
 
 from dataclasses import dataclass
 from random import Random
 
-# Replicas that are remembered at the most: well above the 710 of the largest fleet.
+# Maximum number of replicas tracked; well above the 710 replicas of the largest fleet.
 MAX_REMEMBERED = 2000
-# By how much a backoff is drawn out at the most, by chance, as a share of it and in seconds:
-# who was asked for the same moment comes back spread over this time.
+# Maximum random extension of a backoff, as a share of it and in seconds; the smaller one applies.
+# It spreads the return of instances that were asked to wait until the same moment.
 SPREAD_SHARE = 0.25
 SPREAD_S = 0.5
-# How long the first request after a backoff goes alone, in seconds, where no answer comes
-# sooner: one that wants nothing yet turns it away within some milliseconds.
+# Longest time in seconds for which the first request after a backoff, the probe, is the only one
+# sent, if no answer arrives sooner. A replica that still wants no requests rejects the probe
+# within a few milliseconds.
 TRIAL_S = 0.25
-# How long a replica that has taken the trial gets less than its usual share, in seconds,
-# and which share it begins with.
+# Time in seconds over which the load of a replica ramps up after an accepted probe, and the share
+# of its usual load at which the ramp starts.
 RAMP_S = 1.0
 FIRST_SHARE = 0.1
-# How long after its end a backoff is remembered that nobody has tried out, in seconds: the
-# same for all that waited is long past by then.
+# Time in seconds after which an expired backoff without a probe is dropped. By then, the requests
+# that waited for the end of the backoff are long gone.
 FORGOTTEN_S = 10.0
-# A backoff that was asked for less than this many seconds before a new start of its replica
-# became known may have been asked for since: lists and reports tell of starts some
-# seconds late, half a minute where the platform's list does not answer.
+# A backoff requested less than this many seconds before a restart of its replica became known may
+# come from the restarted replica and is kept. Replica lists and reports announce restarts some
+# seconds late, or about 30 s late while the platform's list is unavailable.
 START_KNOWN_S = 30.0
 
 
 @dataclass(slots=True)
 class _Backoff:
-    """One replica's backoff; times are monotonic, in seconds.
+    """Backoff of one replica; times are monotonic, in seconds.
 
     Attributes
     ----------
     until : float
-        When it is over.
+        End of the backoff.
     asked_at : float
-        When it was asked for last.
+        Time of the replica's most recent request for a backoff.
     tried_at : float, optional
-        When the first request after it was sent.
+        Time at which the probe was sent.
     answered_at : float, optional
-        When that, or any since, was answered.
+        Time of the first answer after the probe was sent.
     """
 
     until: float
@@ -52,7 +53,7 @@
     answered_at: float | None = None
 
     def share(self, now: float) -> float:
-        """Return which share of its usual requests the replica may get, from 0 to 1."""
+        """Return the share of its usual requests that the replica may get, from 0 to 1."""
         if now < self.until:
             return 0.0
         if self.tried_at is None:
@@ -65,19 +66,19 @@
         return min(1.0, FIRST_SHARE + (1.0 - FIRST_SHARE) * (now - trial_ends) / RAMP_S)
 
     def is_over(self, now: float) -> bool:
-        """Return whether there is nothing left to remember."""
+        """Return whether the backoff and the ramp after it are over, so that it can be dropped."""
         if self.tried_at is None:
             return now >= self.until + FORGOTTEN_S
         return now >= self.tried_at + TRIAL_S + RAMP_S
 
 
 class BackoffBook:
-    """The replicas that have asked this instance for a backoff, by their addresses.
+    """Backoffs that replicas requested from this instance, by replica address.
 
     Parameters
     ----------
     random : random.Random
-        Spreads ends of backoffs, and draws who comes first after them.
+        Spreads the ends of backoffs and decides which requests are admitted during a ramp.
     """
 
     def __init__(self, random: Random) -> None:
@@ -86,14 +87,14 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is no backoff to remember."""
+        """Whether no backoff is tracked."""
         return not self._backoffs
 
     def ask(self, address: str, wait_s: float, now: float) -> None:
-        """Take that a replica wants nothing more for some seconds.
+        """Record that a replica wants no requests for `wait_s` seconds.
 
-        The latest end counts of several: what it asked for before has not been taken
-        back by asking for less, and answers overtake each other.
+        Of several backoffs the latest end applies: a shorter one does not revoke an earlier,
+        longer one, since answers may arrive out of order.
         """
         spread_s = self._random.random() * min(SPREAD_S, SPREAD_SHARE * wait_s)
         until = now + wait_s + spread_s
@@ -104,19 +105,19 @@
         self._backoffs[address] = _Backoff(until, now)
 
     def left_s(self, address: str, now: float) -> float:
-        """Return how long a replica is still in backoff, in seconds; 0 for one that is not."""
+        """Return the remaining backoff of a replica in seconds; 0 if it has none."""
         backoff = self._backoffs.get(address)
         return max(0.0, backoff.until - now) if backoff is not None else 0.0
 
     def holds(self, address: str, now: float) -> bool:
-        """Return whether a replica is in backoff, or gets little yet after it."""
+        """Return whether a replica is in backoff or still ramping up after one."""
         return address in self._backoffs
 
     def admits(self, address: str, now: float) -> bool:
         """Return whether another request may be sent to a replica now.
 
-        False while it is in backoff and while the first request after that is on trial; by
-        chance for a second after it, more and more often.
+        False during the backoff and while the probe is outstanding. During the ramp after the
+        probe, requests are admitted at random with a probability that increases to 1.
         """
         backoff = self._backoffs.get(address)
         if backoff is None:
@@ -128,33 +129,33 @@
         return share >= 1.0 or (share > 0.0 and self._random.random() < share)
 
     def note_sent(self, address: str, now: float) -> None:
-        """Note that a request is sent: the first one after a backoff is a trial."""
+        """Record that a request is sent; the first one after a backoff is the probe."""
         backoff = self._backoffs.get(address)
         if backoff is not None and backoff.tried_at is None and now >= backoff.until:
             backoff.tried_at = now
 
     def note_answer(self, address: str, now: float) -> None:
-        """Note that a replica has answered a request, and asked for no backoff."""
+        """Record that a replica answered a request without asking for a backoff."""
         backoff = self._backoffs.get(address)
         if backoff is not None and backoff.tried_at is not None and backoff.answered_at is None:
             backoff.answered_at = now
 
     def start_again(self, address: str, now: float) -> None:
-        """Take that a replica has started again: what it asked for before is void."""
+        """Drop a backoff that was requested before the replica restarted."""
         backoff = self._backoffs.get(address)
         if backoff is not None and now - backoff.asked_at > START_KNOWN_S:
             del self._backoffs[address]
 
     def replace(self, address: str) -> None:
-        """Take that another replica has an address by now."""
+        """Drop the backoff of an address that now belongs to another replica."""
         self._backoffs.pop(address, None)
 
     def count(self, now: float) -> int:
-        """Return how many replicas are in backoff."""
+        """Return the number of replicas in backoff."""
         return sum(1 for backoff in self._backoffs.values() if backoff.until > now)
 
     def _make_room(self, address: str, now: float) -> None:
-        """Drop what is over, and at the bound the backoff that ends first."""
+        """Drop completed entries and, if still at the maximum, the backoff that ends first."""
         if address in self._backoffs or len(self._backoffs) < MAX_REMEMBERED:
             return
         self._backoffs = {name: r for name, r in self._backoffs.items() if not r.is_over(now)}
--- a/reachlink/pacing/_book.py
+++ b/reachlink/pacing/_book.py
@@ -1,4 +1,4 @@
-"""One answer to whether a replica may get another request now, and if not, when; pure."""
+"""Combines backoffs, rate limits and refusals into one decision per replica; pure."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class HoldReason(Enum):
-    """Why replicas get nothing now; the values are codes for logs and callers."""
+    """Why no replica may get a request now; the values are codes for logs and callers."""
 
     BACKOFF = "in_backoff"
     LIMIT = "over_limit"
@@ -21,14 +21,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Hold:
-    """That some replicas may all get nothing now.
+    """State in which none of the candidate replicas is fully available.
 
     Attributes
     ----------
     left_s : float
-        Time until the first of them may, in seconds; 0 where one gets little yet.
+        Time in seconds until the first of the replicas may get a request; 0 if one of
+        them is ramping up after a backoff and gets only part of its usual load.
     reason : HoldReason
-        Why.
+        What holds back that replica.
     """
 
     left_s: float
@@ -36,56 +37,56 @@
 
 
 class PacingKind(Protocol):
-    """One thing that replicas ask of who sends to them, for all that have asked for it.
+    """One kind of flow control that replicas request, tracked for all replicas.
 
-    Replicas go by their addresses, and times are monotonic, in seconds.
+    Replicas are identified by their addresses; times are monotonic, in seconds.
     """
 
     @property
     def is_empty(self) -> bool:
-        """Whether no replica has asked for it."""
+        """Whether no replica is tracked."""
 
     def left_s(self, address: str, now: float) -> float:
-        """Return for how long a replica may get nothing; 0 where it may."""
+        """Return for how many seconds a replica may get no request; 0 if it may get one."""
 
     def holds(self, address: str, now: float) -> bool:
-        """Return whether a replica gets less than usual now."""
+        """Return whether a replica gets less than its usual load now."""
 
     def admits(self, address: str, now: float) -> bool:
         """Return whether another request may be sent to a replica now."""
 
     def note_sent(self, address: str, now: float) -> None:
-        """Note that a request is sent."""
+        """Record that a request is sent."""
 
     def note_answer(self, address: str, now: float) -> None:
-        """Note that a replica has answered, and not asked to be left alone."""
+        """Record that a replica answered a request without asking for a backoff."""
 
     def start_again(self, address: str, now: float) -> None:
-        """Take that a replica has started again under its name."""
+        """Drop what a replica requested before it restarted."""
 
     def replace(self, address: str) -> None:
-        """Take that another replica has an address by now."""
+        """Drop the state of an address that now belongs to another replica."""
 
 
 class PacingBook:
-    """What the replicas have asked for, of whatever kind.
+    """Flow control of every kind that replicas requested from this instance.
 
-    Whatever chooses a replica or sends to one asks here, so that another kind needs no
-    change there.
+    Code that chooses a replica or sends to one consults only this class, so that a new
+    kind of flow control requires no change there.
 
     Parameters
     ----------
     random : random.Random
-        Spreads ends of backoffs, and draws who comes first after them.
+        Spreads the ends of backoffs and decides which requests are admitted after them.
 
     Attributes
     ----------
     backoffs : BackoffBook
-        The replicas that want nothing for some time.
+        Replicas that want no requests for some time.
     limits : LimitBook
-        The replicas that take so many requests a second from all together.
+        Replicas that accept a limited rate of requests from all instances together.
     refusals : RefusalBook
-        The replicas that turn requests away and ask for nothing; only for placing.
+        Replicas that reject requests without naming a time; used for placement only.
     """
 
     def __init__(self, random: Random) -> None:
@@ -96,11 +97,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no replica has asked for anything, nor turns requests away."""
+        """Whether no replica requested flow control or rejects requests."""
         return self.refusals.is_empty and all(kind.is_empty for kind in self._kinds)
 
     def left_s(self, address: str, now: float) -> float:
-        """Return for how long a replica may get nothing by what it has asked for, in seconds."""
+        """Return for how many seconds a replica may get no request by its own demand."""
         return max(kind.left_s(address, now) for kind in self._kinds)
 
     def admits(self, address: str, now: float, within_s: float = 0.0) -> bool:
@@ -109,11 +110,12 @@
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         now : float
             Monotonic time in seconds.
         within_s : float
-            How long the request may wait for its permit at a replica with a limit, in seconds.
+            Longest time in seconds that the request may wait for a permit at a replica with
+            a rate limit.
         """
         if self.refusals.left_s(address, now) or not self.backoffs.admits(address, now):
             return False
@@ -122,19 +124,19 @@
         return self.limits.left_s(address, now) <= within_s
 
     def hold(self, addresses: Sequence[str], now: float) -> Hold | None:
-        """Return why and until when some replicas all get nothing, or little yet.
+        """Return why and for how long none of some replicas is fully available.
 
         Parameters
         ----------
         addresses : sequence of str
-            All replicas that may be used.
+            Addresses of all replicas that may be used.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         Hold or None
-            None where there is no replica or one that is used as usual.
+            None if there are no replicas, or if one of them may get its usual load.
         """
         if not addresses or not all(self._holds(address, now) for address in addresses):
             return None
@@ -142,24 +144,24 @@
         return Hold(self._placed_in_s(first, now), self._reason(first, now))
 
     def note_sent(self, address: str, now: float) -> None:
-        """Note that a request is sent."""
+        """Record that a request is sent."""
         for kind in self._kinds:
             kind.note_sent(address, now)
         self.refusals.note_sent(address, now)
 
     def note_answer(self, address: str, now: float) -> None:
-        """Note that a replica has answered, and asked for no backoff."""
+        """Record that a replica answered a request without asking for a backoff."""
         for kind in self._kinds:
             kind.note_answer(address, now)
 
     def start_again(self, address: str, now: float) -> None:
-        """Take that a replica has started again: what it asked for before is void."""
+        """Drop what a replica requested before it restarted."""
         for kind in self._kinds:
             kind.start_again(address, now)
         self.refusals.forget(address)
 
     def replace(self, address: str) -> None:
-        """Take that another replica has an address by now."""
+        """Drop the state of an address that now belongs to another replica."""
         for kind in self._kinds:
             kind.replace(address)
         self.refusals.forget(address)
@@ -170,7 +172,7 @@
         return any(kind.holds(address, now) for kind in self._kinds)
 
     def _placed_in_s(self, address: str, now: float) -> float:
-        """Return the time until a replica may be chosen for a request, in seconds."""
+        """Return the time in seconds until a replica may be chosen for a request."""
         return max(self.left_s(address, now), self.refusals.left_s(address, now))
 
     def _reason(self, address: str, now: float) -> HoldReason:
--- a/reachlink/pacing/_gate.py
+++ b/reachlink/pacing/_gate.py
@@ -1,4 +1,4 @@
-"""Who grants permits for replicas with a limit; pure."""
+"""Interface for acquiring permits to send to replicas with a rate limit; pure."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PermitRequest:
-    """How much a request matters.
+    """Options of a request for a permit.
 
     Attributes
     ----------
     patience_s : float
-        Longest wait for its permit, in seconds.
+        Longest wait for the permit, in seconds.
     background : bool
-        Whether it only matters where nothing else wants to go there.
+        Whether the request gives way to all other requests to the replica.
     """
 
     patience_s: float = 0.0
@@ -25,35 +25,35 @@
 
 
 class LimitGate(Protocol):
-    """Grants permits for requests to replicas with a limit."""
+    """Grants permits for requests to replicas with a rate limit."""
 
     async def acquire(self, address: str, limit: NamedLimit, asked: PermitRequest) -> float:
-        """Return when one more request may be sent.
+        """Return the time in seconds until one more request may be sent.
 
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         limit : NamedLimit
-            What it has named.
+            Rate limit that the replica advertised.
         asked : PermitRequest
-            How much the request matters.
+            Options of the request.
 
         Returns
         -------
         float
-            Time until its permit, in seconds, which is kept for it; above its patience it has
-            none.
+            Time in seconds until the permit that is reserved for the request; if longer than
+            the longest wait of the request, no permit is reserved.
         """
 
 
 class LocalGate(LimitGate):
-    """Grants permits for a process that is the only one to send.
+    """Grants permits in a process that is the only sender.
 
     Parameters
     ----------
     clock : callable
-        Monotonic time in seconds.
+        Returns monotonic time in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
@@ -61,7 +61,7 @@
         self._meters: dict[str, Meter] = {}
 
     async def acquire(self, address: str, limit: NamedLimit, asked: PermitRequest) -> float:
-        """Return when one more request may be sent."""
+        """Return the time in seconds until one more request may be sent."""
         now = self._clock()
         meter = self._meters.setdefault(address, Meter(limit.per_s, now))
         meter.set_rate(limit.per_s, now)
--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -1,37 +1,39 @@
-"""The requests a second that replicas take from all instances together; pure.
+"""Rate limits that replicas advertise for all instances together; pure.
 
-A replica in need names that number in its answers, for as long as it is so. What the
-instances grant of it to each other is in `_sharing`; here stands what one knows.
+An overloaded replica states the requests per second that it accepts in its answers, for as
+long as it is overloaded. This module holds what one instance knows of these limits; `_sharing`
+divides them among instances.
 """
 
 import math
 from dataclasses import dataclass
 
-# Lowest limit that is kept to, in requests a second: a replica that names less, or none at
-# all, is asked once in so long whether it still does; else its limit would never end.
+# Lowest limit in requests per second that is enforced. A replica that advertises less, or 0, still
+# gets one request in 10 s that asks whether the limit is in force; otherwise it would never end.
 LOWEST_PER_S = 0.1
-# Highest that is told apart from none, in requests a second: more than the whole fleet gets.
+# Highest limit in requests per second; higher values are reduced to it. It exceeds the load of the
+# whole fleet.
 HIGHEST_PER_S = 1e6
-# How soon it is asked again whether something is left, in seconds, however late the next permit
-# was said to be: who grants them changes, and so does the share that it grants.
+# Longest time in seconds until a permit is requested again, however late the next permit was
+# announced: the instance that grants permits may change, and so may the share that it grants.
 ASKED_AGAIN_S = 0.5
-# Replicas that are remembered at the most: well above the 710 of the largest fleet.
+# Maximum number of replicas tracked; well above the 710 replicas of the largest fleet.
 MAX_REMEMBERED = 2000
-# How long the end of a limit is remembered, in seconds: longer than what others tell of it
-# takes to come.
+# Time in seconds for which the end of a limit is remembered; longer than the delay with which
+# other instances report the limit.
 ENDED_KEPT_S = 60.0
-# A limit that was named less than this many seconds before a new start of its replica became
-# known may have been named since; if it was not, the next answer ends it.
+# A limit advertised less than this many seconds before a restart of its replica became known may
+# come from the restarted replica and is kept; otherwise the next answer without a limit ends it.
 START_KNOWN_S = 30.0
 
 
 def parse_limit(text: str) -> float:
-    """Return the requests a second that a replica names, within what can be kept to.
+    """Return the advertised requests per second, clipped to the range that is enforced.
 
     Raises
     ------
     ValueError
-        If that is no number, not finite, or below zero.
+        If the text is not a number, not finite, or negative.
     """
     per_s = float(text)
     if not math.isfinite(per_s) or per_s < 0.0:
@@ -41,18 +43,18 @@
 
 @dataclass(slots=True)
 class NamedLimit:
-    """What one replica has named.
+    """Rate limit that one replica advertised.
 
     Attributes
     ----------
     per_s : float
-        Requests a second that it takes from all instances together.
+        Requests per second that the replica accepts from all instances together.
     named_at : float
-        When it was named last, in monotonic seconds.
+        Monotonic time in seconds at which the replica last advertised the limit.
     free_at : float
-        When the next permit of this instance is, as was said last.
+        Monotonic time in seconds of this instance's next permit, as last announced.
     asked_again_at : float
-        When it is worth asking again.
+        Monotonic time in seconds from which a permit is requested again.
     """
 
     per_s: float
@@ -62,11 +64,12 @@
 
 
 class LimitBook:
-    """The replicas that have named a limit, by their addresses."""
+    """Rate limits advertised by replicas, by replica address."""
 
     def __init__(self) -> None:
         self._limits: dict[str, NamedLimit] = {}
-        # When limits ended, in monotonic seconds: what others heard before is void.
+        # Monotonic times in seconds at which limits ended, by address. Older reports from other
+        # instances are ignored.
         self._ended: dict[str, float] = {}
 
     @property
@@ -75,17 +78,18 @@
         return not self._limits
 
     def name(self, address: str, per_s: float, named_at: float) -> bool:
-        """Take that a replica names a limit; return whether that is news.
+        """Record a limit that a replica advertised; return whether it is new or changed.
 
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         per_s : float
-            Requests a second.
+            Requests per second.
         named_at : float
-            When it did, in monotonic seconds: others may tell of it later, and what was
-            named or ended since counts.
+            Monotonic time in seconds at which the replica advertised the limit. Reports of other
+            instances arrive late: a limit that was advertised or ended more recently takes
+            precedence.
         """
         if named_at <= self._ended.get(address, float("-inf")):
             return False
@@ -101,17 +105,17 @@
         return news
 
     def end(self, address: str, sent_at: float, now: float) -> bool:
-        """Take an answer without a limit; return whether that ends one.
+        """Record an answer without a limit; return whether it ends the replica's limit.
 
-        Answers overtake each other: only one to a request that was sent after the limit
-        was named last says that it is over.
+        Answers may arrive out of order: only the answer to a request that was sent after the
+        limit was last advertised ends it.
 
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         sent_at : float
-            When the request was sent that was answered, in monotonic seconds.
+            Monotonic time in seconds at which the answered request was sent.
         now : float
             Monotonic time in seconds.
         """
@@ -124,57 +128,57 @@
         return True
 
     def ended(self) -> dict[str, float]:
-        """Return when limits ended lately, in monotonic seconds, by addresses."""
+        """Return the monotonic times in seconds at which recent limits ended, by address."""
         return self._ended
 
     def get(self, address: str) -> NamedLimit | None:
-        """Return the limit of a replica; None where it has none."""
+        """Return the limit of a replica; None if it has none."""
         return self._limits.get(address)
 
     def all(self) -> dict[str, NamedLimit]:
-        """Return all limits, by addresses."""
+        """Return all limits by address."""
         return self._limits
 
     def close(self, address: str, left_s: float, now: float) -> None:
-        """Take that nothing is left for this instance for some seconds."""
+        """Record that this instance gets no permit for `left_s` seconds."""
         limit = self._limits.get(address)
         if limit is not None:
             limit.free_at = now + left_s
             limit.asked_again_at = now + min(left_s, ASKED_AGAIN_S)
 
     def left_s(self, address: str, now: float) -> float:
-        """Return how long nothing is left for this instance, in seconds; 0 where something is."""
+        """Return the time in seconds until this instance's next permit; 0 if one may be free."""
         limit = self._limits.get(address)
         return max(0.0, limit.free_at - now) if limit is not None else 0.0
 
     def holds(self, address: str, now: float) -> bool:
-        """Return whether a replica gets less than usual now."""
+        """Return whether a replica gets less than its usual load now."""
         return self.left_s(address, now) > 0.0
 
     def admits(self, address: str, now: float) -> bool:
-        """Return whether it is worth asking for another request to a replica."""
+        """Return whether it is worthwhile to request a permit for a replica."""
         limit = self._limits.get(address)
         return limit is None or now >= limit.asked_again_at
 
     def note_sent(self, address: str, now: float) -> None:
-        """Do nothing: what is sent was counted where it was granted."""
+        """Do nothing: a request is counted when its permit is granted."""
 
     def note_answer(self, address: str, now: float) -> None:
-        """Do nothing: what an answer says of a limit is taken by `name` and `end`."""
+        """Do nothing: limits in answers are recorded by `name` and `end`."""
 
     def start_again(self, address: str, now: float) -> None:
-        """Take that a replica has started again: what it named before is void."""
+        """Drop a limit that was advertised before the replica restarted."""
         limit = self._limits.get(address)
         if limit is not None and now - limit.named_at > START_KNOWN_S:
             del self._limits[address]
 
     def replace(self, address: str) -> None:
-        """Take that another replica has an address by now."""
+        """Drop the limit of an address that now belongs to another replica."""
         self._limits.pop(address, None)
         self._ended.pop(address, None)
 
     def count(self) -> int:
-        """Return how many replicas have a limit."""
+        """Return the number of replicas with a limit."""
         return len(self._limits)
 
     def _make_room(self, now: float) -> None:
--- a/reachlink/pacing/_messages.py
+++ b/reachlink/pacing/_messages.py
@@ -1,31 +1,32 @@
-"""What instances ask and tell each other of limits.
+"""Messages that instances exchange about rate limits of replicas.
 
-The structs go over the wire as arrays: the order of their fields is the format, and new
-fields go to the end with a default. Replicas go by their names: their addresses may differ
-by who reaches them.
+The structs are sent as arrays: the order of the fields is the format, and a new field goes to
+the end and has a default. Replicas are identified by name, since the address of a replica may
+differ between instances.
 """
 
 import msgspec
 
 CHANNEL_LIMIT = "limit"
-"""Call: a `LimitQuestion`, answered with a `LimitAnswer`."""
+"""Channel of calls with a `LimitQuestion`; the reply is a `LimitAnswer`."""
 
 
 class LimitQuestion(msgspec.Struct, array_like=True, frozen=True):
-    """Asks for one request to a replica with a limit.
+    """Asks the owner of a limit for a permit to send one request to the replica.
 
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     per_s : float
-        Requests a second that it takes from all together, as who asks knows it.
+        Requests per second that the replica accepts from all instances, as known to the
+        sender of the message.
     age_s : float
-        How long ago it named that, in seconds.
+        Time in seconds since the replica advertised that limit.
     patience_s : float
         Longest wait for a permit, in seconds.
     background : bool
-        Whether the request only matters where nothing else wants to go there.
+        Whether the request gives way to all other requests to the replica.
     """
 
     replica: str
@@ -36,14 +37,15 @@
 
 
 class LimitAnswer(msgspec.Struct, array_like=True, frozen=True):
-    """What came of it.
+    """Reply to a `LimitQuestion`.
 
     Attributes
     ----------
     decided : bool
-        Whether who was asked hands this limit out; else nothing is said.
+        Whether the instance that replies owns the limit; if not, `wait_s` has no meaning.
     wait_s : float
-        Time until the request may be sent, in seconds; above the patience it may not.
+        Time in seconds until the request may be sent; if longer than `patience_s` of the
+        question, no permit is reserved.
     """
 
     decided: bool
@@ -51,16 +53,17 @@
 
 
 class LimitNote(msgspec.Struct, array_like=True, frozen=True):
-    """Tells others of a limit that a replica has named, or that one is over.
+    """Reports a limit that a replica advertised, or its end.
 
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     per_s : float or None
-        Requests a second that it takes from all together; None for no limit any more.
+        Requests per second that the replica accepts from all instances; None if its limit
+        has ended.
     age_s : float
-        How long ago it said so, in seconds.
+        Time in seconds since the replica advertised the limit, or since its end.
     """
 
     replica: str
--- a/reachlink/pacing/_meter.py
+++ b/reachlink/pacing/_meter.py
@@ -1,7 +1,7 @@
-"""Grants permits at a rate, and reserves them for those that wait; pure.
+"""Grants permits at a rate and reserves them for requests that wait; pure.
 
-The generic cell rate algorithm [1]_, whose state is one time: a token bucket that also
-tells when the next permit is free, with those counted that are promised already.
+Implements the generic cell rate algorithm [1]_, whose state is a single time: a token bucket
+that also tells when the next permit is free, after all permits that are already reserved.
 
 References
 ----------
@@ -10,49 +10,51 @@
 
 from dataclasses import dataclass
 
-# Permits that are saved up at the most while nobody asks, besides the next one. A replica
-# names what it takes in a second: two at once are none too many for it, and help who comes a
-# moment too early.
+# Unused permits that accumulate at the most, in addition to the next one. A limit is stated per
+# second, so two requests at once do not overload the replica, and the slack tolerates requests
+# that arrive slightly early.
 SAVED = 1.0
 
 
 @dataclass(slots=True)
 class Meter:
-    """Permits of one replica.
+    """Rate limiter for one replica.
 
     Attributes
     ----------
     per_s : float
-        Permits a second.
+        Permits per second.
     free_at : float
-        When the next permit is free, in monotonic seconds.
+        Monotonic time in seconds at which the next permit is free.
     """
 
     per_s: float
     free_at: float
 
     def set_rate(self, per_s: float, now: float) -> None:
-        """Grant at another rate; permits that are promised count by the new one."""
+        """Change the rate; times of reserved permits are rescaled to the new rate."""
         if per_s != self.per_s:
             self.free_at = now + (self.free_at - now) * self.per_s / per_s
             self.per_s = per_s
 
     def take(self, now: float, patience_s: float = 0.0, background: bool = False) -> float:
-        """Take a permit if there is one in time; return when it may be used, in seconds.
+        """Reserve a permit if one is free in time; return the wait for it in seconds.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         patience_s : float
-            Longest wait for a permit, in seconds; a permit that comes later is not taken.
+            Longest wait for a permit, in seconds; a later permit is not reserved.
         background : bool
-            Whether only a permit counts that nobody has wanted for some time.
+            Whether to take only a permit that has been free for one interval of the rate
+            without being requested.
 
         Returns
         -------
         float
-            Time until the permit may be used; above the patience none was taken.
+            Time in seconds until the permit is free; if longer than `patience_s`, no permit is
+            reserved.
         """
         interval_s = 1.0 / self.per_s
         earliest = max(self.free_at, now - SAVED * interval_s)
--- a/reachlink/pacing/_refusals.py
+++ b/reachlink/pacing/_refusals.py
@@ -1,40 +1,41 @@
-"""Which replicas turn requests away without saying for how long; pure.
+"""Tracks replicas that reject requests without naming a time to wait; pure.
 
-Load: one replica of several refuses much of what it gets, at once. It looks empty and draws
-more; each refusal costs a repeat. Nothing was asked for, so this is a guess for placing alone:
-it holds back no continuation, report or order, and says nothing of the replica's health.
+When one of several replicas rejects most of its requests immediately, it appears idle and
+attracts more of them, and each rejection costs a retry. Since the replica did not ask for a
+backoff, the wait is an estimate and is used for placement alone: it delays no continuation,
+report or control request, and does not affect the replica's health.
 """
 
 from dataclasses import dataclass
 
-# How long a replica gets nothing after its first refusal, in seconds: a full queue has room
-# again after some answers.
+# Time in seconds for which a replica gets no requests after its first refusal: a full queue has
+# room again after a few answers.
 FIRST_S = 0.03
-# The longest such time, in seconds, to which it doubles with each refusal in a row: how late a
-# replica may be found to take work again.
+# Longest such time in seconds; the time doubles with each consecutive refusal. It bounds the delay
+# until a replica is found to accept requests again.
 LONGEST_S = 2.0
-# How long the first request after a second refusal goes alone, in seconds, where no answer
-# comes sooner: refusals come within milliseconds.
+# Longest time in seconds for which the first request after a second or later refusal, the probe,
+# is the only one sent, if no answer arrives sooner. Refusals arrive within milliseconds.
 TRIAL_S = 0.25
-# How long after its last refusal a replica is remembered, in seconds: where an instance sends
-# it little, that is longer than its retry budget takes to be earned again.
+# Time in seconds for which a replica is tracked after its last refusal; longer than an instance
+# that sends it few requests needs to replenish its retry budget.
 KEPT_S = 30.0
-# Replicas that are remembered at the most.
+# Maximum number of replicas tracked.
 MAX_REMEMBERED = 2000
 
 
 @dataclass(slots=True)
 class _Refusing:
-    """One replica that turns requests away; times are monotonic, in seconds.
+    """A replica that rejects requests; times are monotonic, in seconds.
 
     Attributes
     ----------
     refused_at : float
-        When it did so last.
+        Time of the last refusal.
     wait_s : float
-        How long it gets nothing since then.
+        Time after `refused_at` for which the replica gets no requests.
     tried_at : float, optional
-        When the first request after that was sent.
+        Time at which the probe was sent.
     """
 
     refused_at: float
@@ -42,43 +43,45 @@
     tried_at: float | None = None
 
     def left_s(self, now: float) -> float:
-        """Return how long the replica gets nothing."""
+        """Return for how many seconds the replica gets no requests."""
         free_at = self.refused_at + self.wait_s
-        # One that was only full for a moment would lose more by a trial than it is spared.
+        # No probe after a first refusal: for a replica that was full only briefly, a probe would
+        # cost more than it saves.
         if self.tried_at is not None and self.wait_s > FIRST_S:
             free_at = max(free_at, self.tried_at + TRIAL_S)
         return max(0.0, free_at - now)
 
 
 class RefusalBook:
-    """The replicas that have turned away this instance's last request, by their addresses."""
+    """Replicas that rejected this instance's last request, by replica address."""
 
     def __init__(self) -> None:
         self._refusing: dict[str, _Refusing] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether no replica turns requests away."""
+        """Whether no replica is tracked."""
         return not self._refusing
 
     def note_refused(self, address: str, sent_at: float, now: float) -> float:
-        """Note that a replica has turned a request away without a time.
+        """Record that a replica rejected a request without naming a time to wait.
 
-        Requests that were on their way together are refused together: that is one refusal.
+        Requests that were in flight at the same time are rejected together and count as one
+        refusal.
 
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         sent_at : float
-            When the request was sent, in monotonic seconds.
+            Monotonic time in seconds at which the request was sent.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         float
-            How long it gets nothing, in seconds.
+            Time in seconds for which the replica gets no requests.
         """
         before = self._refusing.get(address)
         if before is None:
@@ -92,23 +95,24 @@
         return wait_s
 
     def note_sent(self, address: str, now: float) -> None:
-        """Note that a request is sent: the first one after a refusal is a trial."""
+        """Record that a request is sent; the first one after a refusal is the probe."""
         refusing = self._refusing.get(address)
         if refusing is not None and refusing.tried_at is None and not refusing.left_s(now):
             refusing.tried_at = now
 
     def note_taken(self, address: str, sent_at: float) -> None:
-        """Note that a replica has answered a request.
+        """Record that a replica accepted and answered a request.
 
-        One that was sent after its last refusal shows that it takes requests again. One that
-        was sent before shows that it was full, and has room for another now.
+        If the request was sent after the last refusal, the replica accepts requests again and is
+        no longer tracked. If it was sent before, the replica was full then and has room for
+        another request now.
 
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         sent_at : float
-            When the request was sent, in monotonic seconds.
+            Monotonic time in seconds at which the request was sent.
         """
         refusing = self._refusing.get(address)
         if refusing is None:
@@ -119,12 +123,12 @@
             self._refusing[address] = _Refusing(refusing.refused_at, 0.0)
 
     def left_s(self, address: str, now: float) -> float:
-        """Return how long a replica gets nothing, in seconds; 0 for one that may get something."""
+        """Return for how many seconds a replica gets no requests; 0 if it may get one."""
         refusing = self._refusing.get(address)
         return refusing.left_s(now) if refusing is not None else 0.0
 
     def refuses(self, address: str, now: float) -> bool:
-        """Return whether a replica has turned the last request away, which is not long ago."""
+        """Return whether a replica rejected its last request within the last `KEPT_S` seconds."""
         refusing = self._refusing.get(address)
         if refusing is not None and now >= refusing.refused_at + KEPT_S:
             del self._refusing[address]
@@ -132,11 +136,11 @@
         return refusing is not None
 
     def forget(self, address: str) -> None:
-        """Take that a replica has started again, or another has its address by now."""
+        """Drop a replica that restarted, or whose address now belongs to another replica."""
         self._refusing.pop(address, None)
 
     def _make_room(self, now: float) -> None:
-        """Drop what is over, and at the bound the one that was refused longest ago."""
+        """Drop expired entries and, if still at the maximum, the one with the oldest refusal."""
         if len(self._refusing) < MAX_REMEMBERED:
             return
         for address in [a for a in self._refusing if not self.refuses(a, now)]:
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -1,12 +1,13 @@
-"""Which instance owns a replica's limit, and how much of it; pure.
+"""Assigns each replica's rate limit to an owner instance and grants permits; pure.
 
-All that is sent to a replica is summed up at one instance, the one whose hash with the
-replica's name is the highest. Instances that do not hear each other grant parts that
-come to one and a half times the limit at the most, whoever hears whom:
+All requests to a replica are counted at one instance, the owner: the instance whose hash with
+the replica's name is the highest. During a network partition the instances together grant at
+most one and a half times the limit, whatever the connectivity:
 
-- a side that has more than half of the instances grants all of it;
-- any other side grants its part by number, all of them less than half together;
-- an instance that reaches no owner sends its own part by number.
+- a side with more than half of the instances grants the whole limit;
+- any other side grants its share by number of instances; all such sides together grant less
+  than half;
+- an instance that reaches no owner grants itself its own share by number.
 """
 
 import hashlib
@@ -19,23 +20,30 @@
 
 _Key = TypeVar("_Key")
 
-# An instance that was not heard for this long does not count, in seconds: each tells
-# something once a second at least.
+# Time in seconds after which an instance that was not heard from is not counted as reachable; each
+# instance sends something at least once a second.
 SILENT_S = 2.0
-# How long instances count for the whole that are in the roster no more, in seconds: behind
-# a cut a roster shrinks to this side after half a minute, and the others still send.
+# Time in seconds for which instances that left the roster are still counted in the total. During a
+# network partition the roster shrinks to this side after 30 s, while the instances on the other
+# side still send.
 KNOWN_KEPT_S = 300.0
-# How long an instance that has just started hears of the others before it grants more
-# than a little, in seconds, and how much that is, as a share of a limit: where all start at
-# once each may know of nobody else.
+# Time in seconds after its start during which an instance grants only a small share of a limit,
+# and that share. While all instances start at once, each may not know the others yet.
 SETTLE_S = 2.0
 UNSETTLED_SHARE = 0.1
-# Replicas whose tokens are counted at the most.
+# Maximum number of replicas whose permits are counted.
 MAX_METERS = 2000
 
 
 def side_share(heard: int, known: int) -> float:
-    """Return which part of a limit a side grants that has some of all instances.
+    """Return the share of a limit that one side of a partition grants.
+
+    Parameters
+    ----------
+    heard : int
+        Instances on this side.
+    known : int
+        Instances on all sides.
 
     Examples
     --------
@@ -46,16 +54,16 @@
 
 
 def ranked(names: Iterable[str], owned: str) -> list[str]:
-    """Return who owns something of which there is one owner, and who takes over from whom.
+    """Return the possible owners of a resource in order of precedence.
 
-    One instance more or less changes that of few things (rendezvous hashing).
+    Uses rendezvous hashing: one instance more or less changes the owner of few resources.
 
     Parameters
     ----------
     names : iterable of str
-        The instances that may own it.
+        Instances that may own the resource.
     owned : str
-        Name of what is owned: a replica for its limit, a service for its line.
+        Name of the resource: a replica, for its rate limit, or a service, for its queue.
     """
     return sorted(names, key=lambda name: _hash(name, owned), reverse=True)
 
@@ -65,36 +73,38 @@
 
 
 class LimitSharing:
-    """One instance's part in handing out limits.
+    """One instance's part in granting permits for rate limits.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     heard_at : callable
-        Returns when another instance was heard last, in monotonic seconds.
+        Returns the monotonic time in seconds at which another instance was last heard from.
     random : random.Random
-        Spreads the first tokens of those that decide alone.
+        Spreads the first permits of instances that reach no owner.
     """
 
     def __init__(self, name: str, heard_at: Callable[[str], float], random: Random) -> None:
         self._name = name
         self._heard_at = heard_at
         self._random = random
-        # The instances that may own limits, and when each was in the roster last.
+        # Instances that may own limits, with the monotonic time at which each was last in the
+        # roster.
         self._known: dict[str, float] = {}
         self._owners: list[str] = []
-        # How many instances there were, and when last.
+        # Numbers of instances, with the monotonic time at which each number was last current.
         self._counts: dict[int, float] = {}
         self._since: float | None = None
         self._owned: dict[str, Meter] = {}
         self._alone: dict[str, Meter] = {}
-        # What each replica named last, and when, of those whose limits are granted.
+        # Time of each replica's most recent limit and the limit in requests per second, for the
+        # limits that this instance grants.
         self._named: dict[str, tuple[float, float]] = {}
         self._ranked: dict[str, list[str]] = {}
 
     def take_roster(self, owners: Iterable[str], instances: int, now: float) -> None:
-        """Take who may own limits, and how many instances there are."""
+        """Update the instances that may own limits, and the number of all instances."""
         names = sorted(owners)
         if names != self._owners:
             self._owners = names
@@ -105,7 +115,7 @@
         self._counts = _recent(self._counts | {instances: now}, now)
 
     def owners(self, replica: str) -> list[str]:
-        """Return the instances that may own a replica's limit, the first one first."""
+        """Return the instances that may own a replica's limit, in order of precedence."""
         found = self._ranked.get(replica)
         if found is None:
             if len(self._ranked) >= MAX_METERS:
@@ -114,7 +124,10 @@
         return found
 
     def is_owner(self, replica: str, now: float) -> bool:
-        """Return whether this instance owns a replica's limit: it hears none before it."""
+        """Return whether this instance owns a replica's limit.
+
+        That is the case if it hears from none of the instances that precede it.
+        """
         for name in self.owners(replica):
             if name == self._name:
                 return True
@@ -123,14 +136,14 @@
         return False
 
     def share(self, now: float) -> float:
-        """Return which part of limits the side grants that this instance is on."""
+        """Return the share of each limit that this instance's side of a partition grants."""
         if self._since is None or now - self._since < SETTLE_S:
             return UNSETTLED_SHARE
         heard = sum(name == self._name or self._hears(name, now) for name in self._known)
         return side_share(heard, len(self._known))
 
     def grant(self, question: LimitQuestion, now: float) -> float:
-        """Return when a request of whatever instance may be sent; see `Meter.take`."""
+        """Return the wait in seconds for a permit as the owner of the limit; see `Meter.take`."""
         per_s = self._newest(question, now) * self.share(now)
         meter = self._owned.get(question.replica)
         if meter is None:
@@ -140,19 +153,23 @@
         return meter.take(now, question.patience_s, question.background)
 
     def grant_alone(self, question: LimitQuestion, now: float) -> float:
-        """Return when a request of this instance may be sent that reaches nobody to ask."""
+        """Return the wait in seconds for a permit for a request of this instance without an owner.
+
+        Used while this instance reaches no owner of the limit; see `Meter.take`.
+        """
         per_s = question.per_s / max(1, len(self._known), *self._counts)
         meter = self._alone.get(question.replica)
         if meter is None:
             _make_room(self._alone)
-            # Hundreds that lose whom they ask at one moment must not all begin with one.
+            # If hundreds of instances lose the owner at the same moment, they must not all start
+            # with a permit at once.
             first_s = self._random.random() / per_s
             meter = self._alone[question.replica] = Meter(per_s, now + first_s)
         meter.set_rate(per_s, now)
         return meter.take(now, question.patience_s, question.background)
 
     def _newest(self, question: LimitQuestion, now: float) -> float:
-        """Return what a replica named last, as all that asked have told."""
+        """Return the replica's most recent limit among those that any question reported."""
         named_at, per_s = self._named.get(question.replica, (float("-inf"), 0.0))
         if now - question.age_s >= named_at:
             named_at, per_s = now - question.age_s, question.per_s
--- a/reachlink/placement/__init__.py
+++ b/reachlink/placement/__init__.py
@@ -1,6 +1,6 @@
-"""Where and when a request runs: memory forecast, candidate choice, health."""
+"""Chooses the replica and time for each request: memory forecast, policies and health."""
 
-from reachlink.placement import _baselines, _forecast  # noqa: F401  (register themselves)
+from reachlink.placement import _baselines, _forecast  # noqa: F401  (the modules register policies)
 from reachlink.placement._cache_index import CacheIndex
 from reachlink.placement._forecast import ForecastPolicy
 from reachlink.placement._health import Health, HealthState, allowances
--- a/reachlink/placement/_baselines.py
+++ b/reachlink/placement/_baselines.py
@@ -1,4 +1,4 @@
-"""Policies to measure against.
+"""Baseline policies that the forecast policy is compared with.
 
 References
 ----------
@@ -23,7 +23,7 @@
 
 @POLICIES.register("round-robin")
 class RoundRobinPolicy(PlacementPolicy):
-    """Each replica in turn."""
+    """Chooses the replicas in turn."""
 
     def __init__(self) -> None:
         self._next = 0
@@ -41,12 +41,12 @@
 
 @POLICIES.register("least-in-flight")
 class LeastInFlightPolicy(PlacementPolicy):
-    """The replica with the fewest requests in flight from this instance."""
+    """Chooses the replica with the fewest requests in flight from this instance."""
 
     def choose(
         self, request: PlacementRequest, candidates: Sequence[Candidate], random: Random
     ) -> Decision:
-        """Return the least used replica, ties broken at random."""
+        """Return the replica with the fewest requests in flight; ties are broken at random."""
         if not candidates:
             return _NONE
         best = min(candidates, key=lambda c: (c.own_in_flight, random.random()))
@@ -55,12 +55,12 @@
 
 @POLICIES.register("power-of-two")
 class PowerOfTwoPolicy(PlacementPolicy):
-    """The better of two random replicas by their lagging reports."""
+    """Chooses the less loaded of two random replicas, by their delayed load reports [1]_."""
 
     def choose(
         self, request: PlacementRequest, candidates: Sequence[Candidate], random: Random
     ) -> Decision:
-        """Return the replica with fewer requests running and waiting."""
+        """Return the one of two replicas that reports fewer running and waiting requests."""
         if not candidates:
             return _NONE
         pair = random.sample(list(candidates), min(2, len(candidates)))
--- a/reachlink/placement/_cache_index.py
+++ b/reachlink/placement/_cache_index.py
@@ -1,4 +1,4 @@
-"""Which prompt blocks each replica's prefix cache may hold, from late and lossy events."""
+"""Tracks which prompt blocks a replica's prefix cache may hold, from late and lossy events."""
 
 from collections import OrderedDict
 from collections.abc import Iterable, Sequence
@@ -8,12 +8,17 @@
 
 
 class CacheIndex:
-    """Hints about one replica's prefix cache.
+    """Approximate content of one replica's prefix cache.
 
     Parameters
     ----------
     max_blocks : int
-        Bound on the blocks remembered; the least recently stored go first.
+        Maximum number of blocks remembered; the least recently stored are dropped first.
+
+    Attributes
+    ----------
+    sequence : int
+        Sequence number of the last event that was applied; maintained by the caller.
     """
 
     def __init__(self, max_blocks: int = MAX_BLOCKS) -> None:
@@ -22,7 +27,7 @@
         self.sequence = 0
 
     def stored(self, blocks: Iterable[int]) -> None:
-        """Blocks entered the cache, or will once a placed request has run."""
+        """Record blocks that entered the cache, or will once a placed request has run."""
         for block in blocks:
             self._blocks[block] = None
             self._blocks.move_to_end(block)
@@ -30,11 +35,11 @@
             self._blocks.popitem(last=False)
 
     def evicted(self, block: int) -> None:
-        """A block left the cache."""
+        """Record that a block was evicted from the cache."""
         self._blocks.pop(block, None)
 
     def cached_tokens(self, blocks: Sequence[int]) -> int:
-        """Return how much of a prompt may be cached, in tokens."""
+        """Return the length in tokens of the prompt prefix that may be cached."""
         hits = 0
         for block in blocks:
             if block not in self._blocks:
--- a/reachlink/placement/_forecast.py
+++ b/reachlink/placement/_forecast.py
@@ -1,4 +1,4 @@
-"""The policy in use: admission by forecast memory peak, choice by forecast cost."""
+"""The policy in use: admission by forecast peak memory, choice by forecast cost."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -21,18 +21,18 @@
     Attributes
     ----------
     deviations : float
-        Standard deviations on top of the forecast mean.
+        Standard deviations added to the forecast mean.
     fill : float
         Share of a replica's memory that forecasts may fill.
     prefill_token_ms : float
-        Cost of a prompt token that no prefix cache holds.
+        Cost in milliseconds of a prompt token that is not in the prefix cache.
     scaling_share : float
-        Share of a decoding step's duration that grows with the batch.
+        Share of a decoding step's duration that grows with the batch size.
     report_trust_s : float
-        Age at which a load report counts for nothing.
+        Age in seconds from which a load report is ignored.
     near_ms : float
-        Candidates within this cost of the best one are chosen at random, so
-        that instances that decide at once do not all choose the same.
+        Candidates whose cost exceeds the lowest by at most this many milliseconds are chosen
+        at random, so that instances that decide at the same time do not all choose the same.
     """
 
     deviations: float = 1.0
@@ -51,7 +51,7 @@
 
 
 class ForecastPolicy(PlacementPolicy):
-    """Place where the forecast peak fits and the answer ends soonest; else wait.
+    """Places a request where its forecast peak fits and its answer ends soonest, or lets it wait.
 
     Parameters
     ----------
@@ -65,7 +65,7 @@
     def choose(
         self, request: PlacementRequest, candidates: Sequence[Candidate], random: Random
     ) -> Decision:
-        """Return the cheapest replica with room, or `Verdict.WAIT`."""
+        """Return the replica with the lowest cost that has room, or `Verdict.WAIT`."""
         allowed = [c for c in candidates if c.local or request.spill]
         if not allowed:
             return Decision(Verdict.NONE_ALIVE, reason="no live replica")
@@ -91,14 +91,14 @@
         return (peak + self._unexplained(candidate)) / candidate.capacity_tokens
 
     def _unexplained(self, candidate: Candidate) -> float:
-        """Return reported memory that no known generation accounts for, aged."""
+        """Return reported memory that no known generation explains, discounted by report age."""
         trust = max(0.0, 1.0 - candidate.report_age_s / self._parameters.report_trust_s)
         return trust * max(0.0, candidate.reported_used_tokens - candidate.known.mean[0])
 
     def _has_room(self, score: _Score) -> bool:
         candidate = score.candidate
         if candidate.running < 1:
-            # An idle replica takes any one request: waiting would gain nothing.
+            # An idle replica accepts any single request, since waiting would not add any room.
             return True
         if candidate.max_batch and candidate.running >= candidate.max_batch * candidate.allowance:
             return False
@@ -114,7 +114,7 @@
         return cost
 
     def _step_ms(self, candidate: Candidate) -> float:
-        """Return the reported step, scaled from the reported to the known batch."""
+        """Return the reported step duration, scaled from the reported to the known batch size."""
         share = self._parameters.scaling_share
         reported = max(1.0, candidate.reported_running)
         ratio = (candidate.running + 1.0) / reported if candidate.step_ms else 1.0
@@ -125,5 +125,5 @@
 
 @POLICIES.register("forecast")
 def make_forecast_policy() -> PlacementPolicy:
-    """Return the policy with its usual constants."""
+    """Return the policy with its default constants."""
     return ForecastPolicy()
--- a/reachlink/placement/_health.py
+++ b/reachlink/placement/_health.py
@@ -1,4 +1,4 @@
-"""Replicas that fail are taken out and let back in gradually; pure."""
+"""Ejects replicas that fail and readmits them gradually; pure."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,9 +6,9 @@
 from random import Random
 
 FAILURES_TO_EJECT = 2
-# What an answer counts that says that the request failed: it may be the request's
-# fault, as some in a hundred are, so that two in a row at one replica come by chance;
-# three, or two while it recovers, are its fault more likely.
+# Weight of a failure that the replica itself reported in an answer. The request may be the cause,
+# as for a few requests in a hundred, so two such answers in a row from one replica occur by
+# chance. Three, or two while the replica recovers, are more likely the replica's fault.
 ANSWERED_FAILURE = 0.67
 FIRST_EJECTION_S = 1.0
 LONGEST_EJECTION_S = 30.0
@@ -18,7 +18,7 @@
 
 
 class HealthState(Enum):
-    """How far a replica is trusted."""
+    """How far a replica is trusted with requests."""
 
     GOOD = "good"
     EJECTED = "ejected"
@@ -27,7 +27,21 @@
 
 @dataclass(slots=True)
 class Health:
-    """Trust in one replica; times are monotonic seconds."""
+    """Health of one replica as seen by one instance; times are monotonic, in seconds.
+
+    Attributes
+    ----------
+    state : HealthState
+        Current state.
+    failures : float
+        Weighted failures since the last success.
+    ejections : int
+        Ejections since the replica was last in state `HealthState.GOOD`.
+    until : float
+        End of the ejection.
+    since : float
+        Start of the recovery.
+    """
 
     state: HealthState = HealthState.GOOD
     failures: float = 0.0
@@ -36,7 +50,7 @@
     since: float = 0.0
 
     def on_failure(self, now: float, random: Random, answered: bool = False) -> None:
-        """A dispatch failed, a stream stalled or broke.
+        """Record a failed dispatch, or a stream that stalled or broke.
 
         Parameters
         ----------
@@ -45,7 +59,7 @@
         random : random.Random
             Source of jitter.
         answered : bool
-            Whether the replica answered that the request has failed.
+            Whether the replica itself answered that the request failed.
         """
         self.failures += ANSWERED_FAILURE if answered else 1
         recovering = self.state is HealthState.RECOVERING
@@ -53,7 +67,7 @@
             self._eject(now, random)
 
     def on_success(self, now: float) -> None:
-        """The replica delivered."""
+        """Record that the replica served a request."""
         self.failures = 0.0
         if self.state is HealthState.RECOVERING and now - self.since >= RECOVERY_S:
             self.state = HealthState.GOOD
@@ -78,29 +92,30 @@
         self.state = HealthState.EJECTED
         self.ejections += 1
         self.failures = 0.0
-        # Jitter keeps replicas that failed together from coming back together.
+        # Jitter keeps replicas that failed at the same time from returning at the same time.
         self.until = now + random.uniform(longest / 2, longest)
 
 
 def allowances(
     healths: Mapping[str, Health], now: float, told: Mapping[str, float] | None = None
 ) -> dict[str, float]:
-    """Return the allowance of each replica, never ejecting most of them at once.
+    """Return the allowance of each replica, without ejecting most replicas at once.
 
-    Where more than `MAX_EJECTED_SHARE` of the replicas are out, the cause is
-    likely shared (a network, a dependency) and taking more out would only
-    put the load onto the rest: then the ejected ones are used sparingly.
+    If more than `MAX_EJECTED_SHARE` of the replicas are ejected, the cause is probably common
+    to them (a network, a dependency), and further ejections would only move the load to the
+    remaining replicas. In that case the ejected ones get a small allowance instead.
 
     Parameters
     ----------
     healths : mapping of str to Health
-        Trust in each replica of a service, by own requests.
+        Health of each replica of a service, from this instance's requests.
     now : float
         Monotonic time in seconds.
     told : mapping of str to float, optional
-        Allowances by what others said; the lower one counts. The bound holds for
-        both together: two judges that take one of three replicas out each would
-        leave one, and three none (324 refusals in 7.5 s of a cut, one day's logs).
+        Allowances reported by other instances; the lower allowance of a replica applies.
+        `MAX_EJECTED_SHARE` bounds both sources together: if each source ejected one of three
+        replicas, one would be left, and with one more ejection none, which caused 324
+        refusals within 7.5 s of a network partition.
     """
     told = told or {}
     found = {n: min(h.allowance(now), told.get(n, 1.0)) for n, h in healths.items()}
--- a/reachlink/placement/_policies.py
+++ b/reachlink/placement/_policies.py
@@ -1,4 +1,4 @@
-"""What every placement policy takes and gives."""
+"""Interface of placement policies, with their inputs and results."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Sequence
@@ -20,20 +20,20 @@
 
 @dataclass(slots=True, frozen=True)
 class PlacementRequest:
-    """A request that looks for a replica.
+    """A request to be placed.
 
     Attributes
     ----------
     profile : MemoryProfile
-        Forecast of its own memory.
+        Forecast of the request's own memory.
     prompt_tokens : int
-        Size of the prompt.
+        Size of the prompt, in tokens.
     expected_tokens : float
-        Expected size of the answer.
+        Expected size of the answer, in tokens.
     link_cost_ms : float
-        Cost of a replica in another availability zone.
+        Additional cost of a replica in another availability zone, in milliseconds.
     spill : bool
-        Whether another availability zone may serve it.
+        Whether a replica in another availability zone may serve the request.
     """
 
     profile: MemoryProfile
@@ -45,35 +45,38 @@
 
 @dataclass(slots=True)
 class Candidate:
-    """A live replica as this instance sees it now.
+    """A live replica as this instance currently sees it.
 
     Attributes
     ----------
     name : str
-        The replica.
+        Name of the replica.
     local : bool
         Whether it is in this availability zone.
-    capacity_tokens, max_batch : int
-        Its memory and batch limit; 0 while unknown.
+    capacity_tokens : int
+        Memory of the replica, in tokens; 0 if unknown.
+    max_batch : int
+        Maximum batch size; 0 if unknown.
     known : MemoryProfile
-        Forecast of what entry instances have placed there.
+        Forecast of the generations that entry instances have placed there.
     own_in_flight : int
         Requests in flight from this instance.
     running : float
         Requests in flight from all instances, as far as known.
     reported_running, reported_waiting : int
-        From the lagging report.
+        Running and waiting requests in the last load report.
     reported_used_tokens : int
-        Memory held plus memory waited for, from the lagging report.
+        Memory in use plus memory that requests wait for, in the last load report, in tokens.
     report_age_s : float
-        Age of that report; infinite if there is none.
+        Age of that report in seconds; infinite if there is none.
     step_ms : float
-        Duration of a decoding step, from the report or the streams.
+        Duration of a decoding step in milliseconds, from the report or the streams; 0 if
+        unknown.
     cached_tokens : int
-        Part of the prompt that its prefix cache may hold.
+        Tokens of the prompt that the replica's prefix cache may hold.
     allowance : float
-        Share of its usual load that it may get, less than 1 while it comes
-        back after a failure.
+        Share of its usual load that the replica may get; less than 1 while it recovers from
+        a failure.
     """
 
     name: str
@@ -94,19 +97,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Decision:
-    """A verdict with what led to it.
+    """A verdict with its explanation.
 
     Attributes
     ----------
     verdict : Verdict
         What to do.
     replica : str
-        Where, for `Verdict.PLACE`.
+        Chosen replica, for `Verdict.PLACE`.
     reason : str
-        One phrase for operators.
+        Short explanation for operators.
     scores : tuple of (str, float, float)
-        For each candidate its name, forecast peak as a share of its memory,
-        and cost in milliseconds.
+        Name, forecast peak as a share of memory, and cost in milliseconds of each candidate.
     """
 
     verdict: Verdict
@@ -116,22 +118,22 @@
 
 
 class PlacementPolicy(ABC):
-    """Chooses among candidates; pure but for what it remembers of its own choices."""
+    """Chooses among candidates; pure except for state about its own choices."""
 
     @abstractmethod
     def choose(
         self, request: PlacementRequest, candidates: Sequence[Candidate], random: Random
     ) -> Decision:
-        """Return where a request runs, or that it waits.
+        """Return the replica for a request, or that the request waits.
 
         Parameters
         ----------
         request : PlacementRequest
-            The request.
+            Request to be placed.
         candidates : sequence of Candidate
             Live replicas that can serve it; may be empty.
         random : random.Random
-            Source of tie-breaks.
+            Source of random tie-breaks.
         """
 
 
--- a/reachlink/placement/_profiles.py
+++ b/reachlink/placement/_profiles.py
@@ -1,11 +1,10 @@
-"""Forecast of the KV memory that generations will hold, as an additive vector.
+"""Forecast of the KV cache memory that generations will hold, as an additive vector.
 
-The profile of one generation is, for a few horizons counted in decoding
-steps, the mean and the variance of the memory that it will hold then: its
-prompt and output so far plus the steps in between, if it still runs. The
-profile of a replica is the sum over its generations, wherever they came
-from, so that entry instances exchange sums and not lists. Its largest value
-over the horizons forecasts the memory peak.
+The profile of one generation holds, for a few horizons counted in decoding steps, the mean and
+the variance of the memory that it will hold at that time: its prompt and output so far plus one
+token per step until then, if it still runs. The profile of a replica is the sum of the profiles
+of its generations, whichever instance placed them, so that entry instances exchange sums instead
+of lists. The largest value over the horizons forecasts the memory peak.
 
 References
 ----------
@@ -30,16 +29,16 @@
 
 @dataclass(slots=True)
 class MemoryProfile:
-    """Sum of forecasts.
+    """Sum of the memory forecasts of some generations.
 
     Attributes
     ----------
     mean : list of float, shape (len(HORIZONS),)
         Expected memory in tokens at each horizon.
     variance : list of float, shape (len(HORIZONS),)
-        Its variance in tokens squared.
+        Variance of that memory, in tokens squared.
     count : float
-        Generations in the sum.
+        Number of generations in the sum.
     """
 
     mean: list[float] = field(default_factory=_zeros)
@@ -59,7 +58,7 @@
         Parameters
         ----------
         curve : SurvivalCurve
-            Lengths of answers like it.
+            Length distribution of similar answers.
         prompt_tokens, tokens : int
             Size of its prompt, and of its output so far.
         max_tokens : int
@@ -85,14 +84,14 @@
         self.count += other.count
 
     def peak_with(self, other: "MemoryProfile", deviations: float) -> float:
-        """Return the forecast peak of both together, in tokens.
+        """Return the forecast peak of this and another profile together, in tokens.
 
         Parameters
         ----------
         other : MemoryProfile
-            Profile to put on top.
+            Profile to add.
         deviations : float
-            How many standard deviations to add to the mean.
+            Number of standard deviations added to the mean.
         """
         sqrt = math.sqrt
         return max(
@@ -103,7 +102,7 @@
         )
 
     def plus(self, other: "MemoryProfile") -> "MemoryProfile":
-        """Return the sum of both."""
+        """Return the sum of this and another profile."""
         return MemoryProfile(
             [a + b for a, b in zip(self.mean, other.mean, strict=True)],
             [a + b for a, b in zip(self.variance, other.variance, strict=True)],
@@ -112,7 +111,7 @@
 
     @staticmethod
     def total(profiles: Iterable["MemoryProfile"]) -> "MemoryProfile":
-        """Return the sum of profiles."""
+        """Return the sum of several profiles."""
         result = MemoryProfile()
         for profile in profiles:
             result.add(profile)
--- a/reachlink/routing/__init__.py
+++ b/reachlink/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing tables: hosts and prefixes to services, limits, callers' keys."""
+"""Routing tables: routes from hosts and path prefixes to services, limits, callers' keys."""
 
 from reachlink.routing._formats import (
     NATIVE_FORMAT,
--- a/reachlink/routing/_formats.py
+++ b/reachlink/routing/_formats.py
@@ -1,4 +1,4 @@
-"""Formats that a routing table may be published in."""
+"""Formats in which a routing table may be published."""
 
 from collections.abc import Generator
 from dataclasses import dataclass, replace
@@ -18,20 +18,20 @@
 )
 from reachlink.routing.exceptions import InvalidTableError
 
-# Routes that are read in one step, less than a millisecond's work.
+# Routes decoded per step, which takes less than a millisecond.
 ROUTES_READ_A_STEP = 100
 
 
 @dataclass(slots=True, frozen=True)
 class TableOutline:
-    """A document whose routes were found and not read.
+    """A decoded table document whose routes are located but not decoded yet.
 
     Attributes
     ----------
     table : RoutingTable
-        Everything but the routes.
+        Everything except the routes.
     routes : list of bytes
-        The part of the document that each route is written in.
+        Encoded text of each route.
     """
 
     table: RoutingTable
@@ -39,24 +39,31 @@
 
 
 class TableFormat(Protocol):
-    """How documents of one format are read."""
+    """Decoder of documents of one format."""
 
     def outline(self, document: bytes) -> TableOutline:
-        """Return everything but the routes, and where these are written.
+        """Decode everything except the routes, and locate the routes.
 
         Raises
         ------
         InvalidTableError
-            With the field that is wrong.
+            If the document is invalid; names the field.
         """
 
     def route(self, place: str, written: bytes) -> Route:
-        """Read one route.
+        """Decode one route.
+
+        Parameters
+        ----------
+        place : str
+            Path of the route in the document, for error messages.
+        written : bytes
+            Encoded text of the route.
 
         Raises
         ------
         InvalidTableError
-            With the field that is wrong, as part of the place.
+            If the route is invalid; names the field by its path, starting with `place`.
         """
 
 
@@ -65,7 +72,7 @@
 
 
 class PublishedTable(msgspec.Struct, frozen=True):
-    """A routing table as it was published, kept unchanged so that it reads back the same.
+    """A routing table as published, kept unchanged so that it is returned as it was published.
 
     Attributes
     ----------
@@ -74,7 +81,7 @@
     format : str
         Format of the document, one of `TABLE_FORMATS`.
     document : str
-        The document itself.
+        Text of the document.
     """
 
     number: int
@@ -82,12 +89,12 @@
     document: str
 
     def decode(self) -> RoutingTable:
-        """Return the checked table.
+        """Return the decoded and checked table.
 
         Raises
         ------
         InvalidTableError
-            With the field that is wrong.
+            If the table is invalid; names the field.
         """
         table_format = TABLE_FORMATS.get(self.format)
         outline = table_format.outline(self.document.encode())
@@ -98,11 +105,11 @@
 
 
 class TableReader:
-    """Reads tables that were accepted, one after the other, in short steps.
+    """Decodes successive accepted tables in short steps.
 
-    A route that the table before had is not read again, and no table is checked again:
-    that was done before it was accepted. So a change of one route takes half of the time
-    and holds the loop for a fraction of it.
+    Routes that the previous table already had are not decoded again, and tables are not checked
+    again, since that was done before they were accepted. A change of one route therefore takes
+    half of the time and blocks the event loop for a fraction of it.
     """
 
     def __init__(self) -> None:
@@ -110,12 +117,12 @@
         self._routes: dict[bytes, Route] = {}
 
     def steps(self, published: PublishedTable) -> Generator[None, None, RoutingIndex]:
-        """Prepare a table for look-ups; the work may pause at each yield.
+        """Decode a table and build its index; the caller may do other work at each yield.
 
         Raises
         ------
         InvalidTableError
-            With the field that is wrong.
+            If the table is invalid; names the field.
         """
         table_format = TABLE_FORMATS.get(published.format)
         known = self._routes if published.format == self._format else {}
@@ -166,12 +173,21 @@
 
 
 def decode_or_refuse(decode: Any, written: bytes, place: str = "") -> Any:
-    """Return what a decoder makes of a text.
+    """Return the result of a decoder for a text.
+
+    Parameters
+    ----------
+    decode : callable
+        Decoder of a text.
+    written : bytes
+        Text to decode.
+    place : str
+        Path of the text in its document; empty for the whole document.
 
     Raises
     ------
     InvalidTableError
-        If it makes nothing of it; names the place.
+        If the text cannot be decoded; names the field by its path, starting with `place`.
     """
     try:
         return decode(written)
@@ -180,7 +196,7 @@
 
 
 def _placed(message: str, place: str) -> str:
-    """Return a decoder's message with its field named from the top of the document."""
+    """Return a decoder's message with the path of the field from the top of the document."""
     if not place:
         return message
     if "`$" in message:
--- a/reachlink/routing/_homes.py
+++ b/reachlink/routing/_homes.py
@@ -1,13 +1,13 @@
-"""Regions that requests are bound to; pure."""
+"""Regions in which a request is allowed to run; pure."""
 
 from reachlink.routing._table import Route, Workspace
 
 
 def home_regions(route: Route | None, workspace: Workspace | None) -> frozenset[str] | None:
-    """Return the regions that a request may run in, or None where it may run in any.
+    """Return the regions in which a request may run, or None if it may run in any region.
 
-    Where both its route and its workspace name some, both bind: the result may be empty,
-    and then no replica may get the request.
+    If both its route and its workspace restrict the regions, both restrictions apply. The result
+    may be empty; then no replica may get the request.
 
     Examples
     --------
--- a/reachlink/routing/_index.py
+++ b/reachlink/routing/_index.py
@@ -1,20 +1,20 @@
-"""Looking up what a routing table says of one request; pure."""
+"""Look-ups of routes, services and workspaces in a routing table; pure."""
 
 from collections.abc import Generator
 from random import Random
 
 from reachlink.routing._table import Route, RoutingTable, Service, Workspace
 
-# Routes that are indexed in one step, less than a millisecond's work.
+# Routes indexed per step, which takes less than a millisecond.
 ROUTES_INDEXED_A_STEP = 500
 
 
 class _Host:
-    """The routes of one host by their prefixes.
+    """Routes of one host by path prefix.
 
-    A look-up takes a step for each length that prefixes have, not for each route: with
-    4,240 routes of one host 0.2 us in place of 195 us for each request
-    (``make bench-tables``, one run beside load).
+    A look-up takes one step per distinct prefix length instead of one per route. With 4,240 routes
+    of one host, it takes 0.2 us instead of 195 us per request (``make bench-tables``, one run on a
+    machine with other load).
     """
 
     __slots__ = ("_lengths", "_routes")
@@ -24,7 +24,7 @@
         self._lengths: list[int] = []
 
     def add(self, route: Route) -> None:
-        """Add a route; the first one with a prefix counts."""
+        """Add a route; of several with the same prefix, the first one is used."""
         length = len(route.path_prefix)
         if length not in self._lengths:
             self._lengths.append(length)
@@ -32,7 +32,7 @@
         self._routes.setdefault(route.path_prefix, route)
 
     def route(self, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix that matches the path."""
         for length in self._lengths:
             route = self._routes.get(path[:length])
             if route is not None:
@@ -41,7 +41,7 @@
 
 
 class RoutingIndex:
-    """A routing table prepared for look-ups.
+    """A routing table indexed for look-ups.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
 
     @classmethod
     def steps(cls, table: RoutingTable) -> Generator[None, None, "RoutingIndex"]:
-        """Make an index of a large table; the work may pause at each yield."""
+        """Build the index of a large table; the caller may do other work at each yield."""
         index = cls.__new__(cls)
         yield from index._prepare(table)
         return index
@@ -79,7 +79,7 @@
 
     @property
     def table(self) -> RoutingTable:
-        """The table itself."""
+        """The indexed table."""
         return self._table
 
     @property
@@ -89,11 +89,11 @@
 
     @property
     def needs_keys(self) -> bool:
-        """Whether requests of routes that are not public need a key."""
+        """Whether requests need a key unless their route is public."""
         return bool(self._table.workspaces)
 
     def route(self, host: str, path: str) -> Route | None:
-        """Return the route of the host with the longest prefix that begins the path."""
+        """Return the route of the host with the longest prefix that matches the path."""
         name = host.partition(":")[0].lower()
         found = self._hosts.get(name)
         return found.route(path) if found is not None else None
@@ -103,27 +103,27 @@
         return self._services.get(name)
 
     def workspace(self, key: str) -> Workspace | None:
-        """Return the workspace that holds a key."""
+        """Return the workspace that owns a key."""
         return self._keys.get(key)
 
     def urgency(self, workspace: Workspace | None, route: Route) -> int:
-        """Return how urgent a request is among all of this table; 0 is the most urgent.
+        """Return the urgency rank of a request among all requests of this table; 0 is most urgent.
 
-        The workspace's priority decides; among requests of equal workspace
-        priority the route's does. With the workspace's alone, engines would read
-        prompts of all routes in order of arrival, and the urgent ones too late.
+        Requests are ranked by the priority of their workspace, and requests of equal workspace
+        priority by that of their route. By the workspace's priority alone, engines would process
+        prompts of all routes in order of arrival, and urgent ones too late.
 
         Parameters
         ----------
         workspace : Workspace or None
-            Who it is for; None where the route needs no key.
+            Workspace of the request; None if the route needs no key.
         route : Route
-            Its route.
+            Route of the request.
         """
         return self._ranks[_priorities(workspace, route)]
 
     def choose_service(self, route: Route, random: Random) -> Service:
-        """Return one of a route's services, drawn by weight."""
+        """Return one of a route's services, chosen at random by weight."""
         if len(route.backends) == 1:
             return self._services[route.backends[0].service]
         weights = [backend.weight for backend in route.backends]
@@ -132,13 +132,16 @@
 
 
 def _priorities(workspace: Workspace | None, route: Route) -> tuple[int, int]:
-    """Return what urgency is compared by: the priority that goes first, and the route's."""
+    """Return the sort key of urgency: the effective priority, then the route's priority.
+
+    The effective priority is that of the workspace if it has one, and that of the route otherwise.
+    """
     first = workspace.priority if workspace is not None else None
     return (route.priority if first is None else first), route.priority
 
 
 def _ranks(table: RoutingTable) -> dict[tuple[int, int], int]:
-    """Return the place of each pair of priorities that requests of a table can have."""
+    """Return the rank of each pair of priorities that requests of a table can have."""
     routes = {route.priority: route for route in table.routes}
     workspaces: dict[int | None, Workspace | None] = {w.priority: w for w in table.workspaces}
     workspaces[None] = None
--- a/reachlink/routing/_patch.py
+++ b/reachlink/routing/_patch.py
@@ -1,9 +1,9 @@
-"""What changed from one published table to the next; pure.
+"""Patches between successive published tables; pure.
 
-A document is cut behind each closing brace, so that a route, a service or a
-workspace is a part of its own in any format that writes them as objects. A patch
-names the parts that are kept and holds the others. Whoever applies it comes to the
-same document, character for character, or is told that the patch does not fit.
+A document is split after each closing brace, so that a route, a service or a workspace is a
+separate part in any format that writes them as objects. A patch refers to the parts of the older
+document that are kept and contains the new ones. Applying it yields exactly the newer document,
+or an error if the patch belongs to another document.
 """
 
 import hashlib
@@ -18,31 +18,32 @@
 
 _CLOSE = "}"
 _PART = re.compile(r"[^}]*\}|[^}]+")
-# In bytes; enough that two documents of one number never share a digest by chance.
+# Size of a digest in bytes; large enough to rule out that two documents of one number have the
+# same digest by chance.
 DIGEST_BYTES = 16
-# What a run of kept parts takes in a patch, in bytes at most: two numbers of up to four
-# bytes each with a byte for their kind, in MessagePack.
+# Maximum size in bytes of a run of kept parts in a patch: two integers of up to four bytes, each
+# with a type byte, in MessagePack.
 KEPT_BYTES = 10
 
 Kept = tuple[int, int]
-"""Parts of the older document that stay: position of the first, and how many."""
+"""Run of parts kept from the older document: index of the first, and number of parts."""
 
 
 class TablePatch(msgspec.Struct, frozen=True, array_like=True):
-    """Turns the table of one number into that of a later one.
+    """Patch from the table of one number to that of a later one.
 
     Attributes
     ----------
     base : int
-        Number of the table that it changes.
+        Number of the table that the patch applies to.
     number : int
-        Number of the table that it makes.
+        Number of the resulting table.
     format : str
-        Format of the document.
+        Format of the resulting document.
     digest : bytes
-        Digest of the document that it makes.
+        Digest of the resulting document.
     parts : list of tuple or str
-        Runs of kept parts, and text that is new, in order.
+        Runs of kept parts and new text, in order.
     """
 
     base: int
@@ -53,29 +54,29 @@
 
     @property
     def size(self) -> int:
-        """About how large it is, in bytes."""
+        """Approximate size in bytes."""
         texts = sum(len(part) for part in self.parts if isinstance(part, str))
         return DIGEST_BYTES + KEPT_BYTES * len(self.parts) + texts
 
 
 def apply_patches(table: PublishedTable | None, patches: Sequence[TablePatch]) -> PublishedTable:
-    """Return the table that a row of patches makes.
+    """Return the table that results from a sequence of patches.
 
-    The document is cut, put together and digested once for all of them, for an instance
-    that comes back after many: 24 take 12 ms where one takes 10 (10,000 routes, one run
-    beside load).
+    The document is split, joined and hashed once for the whole sequence, for an instance that
+    missed many changes: 24 patches take 12 ms, one takes 10 ms (10,000 routes, one run on a
+    machine with other load).
 
     Parameters
     ----------
     table : PublishedTable or None
-        The table that the first patch changes.
+        Table that the first patch applies to; None if there is none.
     patches : sequence of TablePatch
-        At least one, each on the table that the one before it makes.
+        At least one patch; each applies to the result of the previous one.
 
     Raises
     ------
     PatchMismatchError
-        If one of them was made for another table.
+        If a patch applies to another table.
     """
     if table is None:
         raise PatchMismatchError(f"changes table {patches[0].base}, none is held")
@@ -92,7 +93,7 @@
 
 
 def patch_between(old: PublishedTable, new: PublishedTable) -> TablePatch:
-    """Return what turns one table into another."""
+    """Return the patch from one table to another."""
     parts = _Parts(_split(old.document))
     for text in _split(new.document):
         parts.add(text)
@@ -101,7 +102,7 @@
 
 @dataclass(slots=True)
 class _Run:
-    """Parts of the older document that follow each other there."""
+    """Consecutive parts of the older document."""
 
     first: int
     count: int = 1
@@ -112,7 +113,7 @@
 
 
 class _Parts:
-    """Collects a patch's parts, those of the newer document in their order."""
+    """Collects the parts of a patch from the parts of the newer document, in order."""
 
     def __init__(self, old: list[str]) -> None:
         self._old = old
@@ -122,7 +123,7 @@
         self._new: list[str] = []
 
     def add(self, text: str) -> None:
-        """Take the next part of the newer document."""
+        """Add the next part of the newer document."""
         run = self._run
         if run is not None and run.next < len(self._old) and self._old[run.next] == text:
             run.count += 1
@@ -157,7 +158,7 @@
 
 
 def _patched(old: list[str], patch: TablePatch) -> list[str]:
-    """Return the parts of the document that a patch makes, cut as the whole would be."""
+    """Return the parts of the patched document, split as the whole document would be."""
     parts: list[str] = []
     for part in patch.parts:
         if isinstance(part, str):
@@ -166,7 +167,8 @@
             first, count = part
             following = old[first : first + count]
         if parts and following and not parts[-1].endswith(_CLOSE):
-            # What was the end of a document goes with what follows it now.
+            # The last part of the older document may have no closing brace; if text follows it
+            # now, both form one part.
             parts[-1] += following[0]
             following = following[1:]
         parts += following
--- a/reachlink/routing/_table.py
+++ b/reachlink/routing/_table.py
@@ -1,4 +1,4 @@
-"""Routing tables: which requests exist, where they go and within which limits; pure."""
+"""Routing tables: which requests are served, by which services and within which limits; pure."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class RequestKind(Enum):
-    """How often a request may run, and how its answer comes."""
+    """How often a request may run, and how its answer is returned."""
 
     REPEATABLE = "repeatable"
     ONCE = "once"
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Backend:
-    """A service that gets a share of a route's requests."""
+    """A service that receives a share of a route's requests."""
 
     service: str
     weight: float
@@ -31,27 +31,27 @@
     name : str
         Name for logs and metrics.
     host, path_prefix : str
-        What it matches; the prefix begins and ends with a slash.
+        Host and path prefix of matching requests; the prefix begins and ends with a slash.
     kind : RequestKind
-        How often its requests may run.
+        How often the requests may run, and how their answers are returned.
     backends : tuple of Backend
-        Services that share its requests.
+        Services that share the requests.
     timeout_s : float
-        Longest time that a request may be held, in seconds.
+        Longest time that a request may take, in seconds.
     objective_s : float
-        Time to the answer, or to the first event of a stream, in seconds.
+        Target time to the answer, or to the first event of a stream, in seconds.
     priority : int
-        0 is the most urgent.
+        Priority of the requests; 0 is the most urgent.
     max_attempts : int
-        Most replicas that one request may be sent to.
+        Maximum number of replicas that one request is sent to.
     public : bool
         Whether requests need no key.
     event_gap_s : float
-        Longest pause between events that is in time, in seconds; 0 for none.
+        Target for the longest gap between events of a stream, in seconds; 0 for none.
     resumable : bool
-        Whether a new run may continue a broken stream.
+        Whether another run may continue a broken stream.
     regions : tuple of str
-        Regions that its requests may run in; empty for any.
+        Regions in which the requests may run; empty for any region.
     """
 
     name: str
@@ -76,24 +76,26 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineLimits:
-    """What the model engines of a service can hold and do.
+    """Capacity and features of the model engines of a service.
 
     Attributes
     ----------
     slots : int
-        Requests that one engine works on at once.
+        Requests that one engine processes concurrently.
     kv_capacity_tokens : int
-        Memory of one engine, in tokens.
+        KV cache memory of one engine, in tokens.
     kv_token_bytes : int
-        Memory of one token, in bytes.
+        KV cache memory of one token, in bytes.
     link_mbps : float
-        Bandwidth of an engine's link for moving memory, in Mbit/s.
-    moves, backups : bool
-        Whether a running generation's memory can be moved, or copied as it grows.
+        Bandwidth of an engine's link for KV cache transfers, in Mbit/s.
+    moves : bool
+        Whether the KV cache of a running generation can be moved to another engine.
+    backups : bool
+        Whether the KV cache of a running generation can be copied while it grows.
     tokens_per_event : int
-        Tokens that one event of a stream holds.
+        Tokens in one event of a stream.
     move_keep_s : float
-        How long an engine keeps memory that was moved and not used, in seconds.
+        Time in seconds for which an engine keeps KV cache that was moved to it and is unused.
     """
 
     slots: int
@@ -115,14 +117,14 @@
     name : str
         Name in the platform's list.
     health_path : str
-        Path that answers 200 while a replica is healthy.
+        Path that returns status 200 while a replica is healthy.
     max_connections : int
-        Connections that one replica takes from all callers together.
+        Maximum number of connections to one replica from all callers together.
     engine : EngineLimits, optional
-        None for a plain service.
+        Capacity of the model engines; None for a plain service.
     cold_requests_per_s : float
-        Requests a second that one replica bears while it is cold, those of all callers
-        together; 0 where it bears as many as when it is warm.
+        Requests per second from all callers together that one replica can serve while it is
+        cold; 0 if it can serve as many as when it is warm.
     """
 
     name: str
@@ -134,18 +136,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Workspace:
-    """A customer with its keys.
+    """A customer and its API keys.
 
     Attributes
     ----------
     name : str
         Name for logs and replicas.
     keys : tuple of str
-        Keys that its callers send.
+        API keys that its callers send.
     priority : int, optional
-        Goes before a route's.
+        Priority of its requests, which overrides that of the route.
     regions : tuple of str
-        Regions that its requests may run in; empty for any.
+        Regions in which its requests may run; empty for any region.
     """
 
     name: str
@@ -156,7 +158,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallerLimits:
-    """Bounds on what callers send, in bytes and seconds."""
+    """Limits on requests from callers, in bytes and seconds."""
 
     max_header_bytes: int = 16 << 10
     max_body_bytes: int = 4 << 20
@@ -166,16 +168,20 @@
 
 @dataclass(slots=True, frozen=True)
 class RoutingTable:
-    """Everything that decides what becomes of a request, under one number.
+    """All routing configuration, under one number.
 
     Attributes
     ----------
     number : int
-        The highest number is in force.
-    routes, services, workspaces : tuple
-        Without workspaces, no request needs a key.
+        Number of the table; the table with the highest number is in force.
+    routes : tuple of Route
+        Routes; the one with the longest matching prefix applies.
+    services : tuple of Service
+        Services that routes refer to.
+    workspaces : tuple of Workspace
+        Customers; if there are none, no request needs a key.
     limits : CallerLimits
-        Bounds on requests.
+        Limits on requests.
     """
 
     number: int
@@ -186,12 +192,12 @@
 
 
 def check_table(table: RoutingTable) -> None:
-    """Check what no single field shows.
+    """Check values and references that decoding a single field does not check.
 
     Raises
     ------
     InvalidTableError
-        With the first field that is wrong.
+        If a check fails; names the first invalid field.
     """
     services = _check_services(table)
     _check_routes(table, services)
--- a/reachlink/routing/exceptions.py
+++ b/reachlink/routing/exceptions.py
@@ -6,18 +6,18 @@
 
 
 class RoutingError(ReachlinkError):
-    """Base class of the errors of this layer."""
+    """Base class of the errors of this package."""
 
 
 class InvalidTableError(RoutingError):
-    """A routing table cannot be taken.
+    """Raised if a routing table is invalid.
 
     Parameters
     ----------
     field : str
-        Path of the field that is wrong, such as ``routes[3].timeout_ms``.
+        Path of the invalid field, such as ``routes[3].timeout_ms``.
     reason : str
-        What is wrong with it.
+        What is wrong with the field.
     """
 
     def __init__(self, field: str, reason: str) -> None:
@@ -27,4 +27,4 @@
 
 
 class PatchMismatchError(RoutingError):
-    """A patch was made for another table than the one that is held."""
+    """Raised if a patch applies to another table than the current one."""
