--- a/benchmarks/bench_coordination.py
+++ b/benchmarks/bench_coordination.py
@@ -54,13 +54,13 @@
 async def measure(members: int, replicas: int) -> dict[str, float]:
     """Return the figures for one number of members."""
     coordinator, followers = fleet(members, replicas)
-    notes = [f.member._note("c1", 0.01) for f in followers]
+    notes = [f.member._make_note("c1", 0.01) for f in followers]
     for note in notes:
-        coordinator.coordinator._take(note)
+        coordinator.coordinator._apply_note(note)
     first = [coordinator.coordinator._picture_for(note) for note in notes]
     for follower, picture in zip(followers, first, strict=True):
-        follower.member._take(picture)
-    notes = [f.member._note("c1", 0.01) for f in followers]
+        follower.member._apply_picture(picture)
+    notes = [f.member._make_note("c1", 0.01) for f in followers]
     sizes = [len(encode(note)) for note in notes]
     notes = [msgspec.structs.replace(note, whole=True) for note in notes]
     some = [msgspec.structs.replace(note, whole=False) for note in notes]
@@ -68,7 +68,7 @@
     began = time.process_time()
     for number in range(ROUNDS):
         for note in some if number % PICTURES_PER_S else notes:
-            coordinator.coordinator._take(note)
+            coordinator.coordinator._apply_note(note)
             pictures.append(len(encode(coordinator.coordinator._picture_for(note))))
     exchange_us = (time.process_time() - began) / (ROUNDS * members) * 1e6
     began = time.process_time()
--- a/reachlink/coordination/_asking.py
+++ b/reachlink/coordination/_asking.py
@@ -8,12 +8,12 @@
 
 # How long an answer to a question may take, in seconds: some 3 ms within a zone,
 # and what a coordinator that is busy or just starting takes. Then the next is asked.
-ANSWER_S = 0.15
+ANSWER_TIMEOUT_S = 0.15
 # How many instances are asked before this one decides by itself.
-ASKED = 2
+MAX_ASKED = 2
 
 
-async def ask_in_turn(
+async def ask_in_order(
     instances: Iterable[InstanceRecord],
     ask: Callable[[InstanceRecord], Awaitable[PlaceAnswer | None]],
 ) -> tuple[PlaceAnswer | None, InstanceRecord | None]:
@@ -35,7 +35,7 @@
         does, and only where the question insists.
     """
     unsettled: InstanceRecord | None = None
-    for instance in islice(instances, ASKED):
+    for instance in islice(instances, MAX_ASKED):
         answer = await ask(instance)
         if answer is not None and answer.settled:
             return answer, None
--- a/reachlink/coordination/_attachment.py
+++ b/reachlink/coordination/_attachment.py
@@ -8,7 +8,7 @@
 
 # How long a coordinator that did not answer is left aside, in seconds: half of
 # what the roster takes to drop one that is gone.
-AVOIDED_S = 2.0
+RETRY_AFTER_SILENCE_S = 2.0
 
 
 class Attachment:
@@ -25,10 +25,10 @@
     >>> near = InstanceRecord("e1", "10.0.0.1:7201", "a")
     >>> far = InstanceRecord("e2", "10.0.1.1:7201", "b")
     >>> attachment.take([far, near])
-    >>> attachment.is_member, [c.name for c in attachment.preferred(0.0)]
+    >>> attachment.is_member, [c.name for c in attachment.by_preference(0.0)]
     (True, ['e1', 'e2'])
-    >>> attachment.note_silence("e1", 0.0)
-    >>> [c.name for c in attachment.preferred(0.5)]
+    >>> attachment.mark_silent("e1", 0.0)
+    >>> [c.name for c in attachment.by_preference(0.5)]
     ['e2', 'e1']
     """
 
@@ -59,7 +59,7 @@
         names = {record.name for record in self._coordinators}
         self._avoided_until = {n: t for n, t in self._avoided_until.items() if n in names}
 
-    def preferred(self, now: float) -> list[InstanceRecord]:
+    def by_preference(self, now: float) -> list[InstanceRecord]:
         """Return the coordinators, those that answer first, in order of preference."""
         return sorted(self._coordinators, key=lambda c: self._avoided_until.get(c.name, 0.0) > now)
 
@@ -96,9 +96,9 @@
         found = [records[name] for name in ranked(records, service)]
         return sorted(found, key=lambda c: self._avoided_until.get(c.name, 0.0) > now)
 
-    def note_silence(self, coordinator: str, now: float) -> None:
+    def mark_silent(self, coordinator: str, now: float) -> None:
         """Note that a coordinator did not answer."""
-        self._avoided_until[coordinator] = now + AVOIDED_S
+        self._avoided_until[coordinator] = now + RETRY_AFTER_SILENCE_S
 
     def _preference(self, record: InstanceRecord) -> tuple[bool, bytes]:
         key = f"{self._name} {record.name}".encode()
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -39,11 +39,11 @@
 
 # How long a coordinator listens before it decides, in seconds: every member and
 # every other coordinator tells its load once a second at least.
-SETTLED_S = 1.2
+READY_AFTER_S = 1.2
 # A member that tells nothing for this long is none any more, in seconds.
-MEMBER_KEPT_S = 3.0
+MEMBER_TIMEOUT_S = 3.0
 # How long after a replica was found to leave members are told of its report, in seconds.
-LEAVING_TOLD_S = 5.0
+LEAVING_REPORTED_S = 5.0
 
 
 class ZoneReach(Protocol):
@@ -130,8 +130,8 @@
         self._clock = clock
         self._members: dict[str, float] = {}
         # Since when this instance coordinates, in monotonic seconds.
-        self._since: float | None = None
-        self._news_there = asyncio.Event()
+        self._coordinating_since: float | None = None
+        self._news_event = asyncio.Event()
         self._log: Any = get_logger()
         bus.handle(CHANNEL_MEMBER, self._on_note)
         bus.handle(CHANNEL_PLACE, self._on_question)
@@ -140,21 +140,21 @@
     def take_role(self, coordinates: bool) -> None:
         """Take whether this instance coordinates from now on."""
         if not coordinates:
-            self._since = None
-        elif self._since is None:
-            self._since = self._clock()
+            self._coordinating_since = None
+        elif self._coordinating_since is None:
+            self._coordinating_since = self._clock()
 
     @property
     def settled(self) -> bool:
         """Whether it coordinates, has a list, and has listened for long enough to decide."""
-        if self._since is None or not self._directory.is_whole:
+        if self._coordinating_since is None or not self._directory.is_whole:
             return False
-        return self._clock() - self._since >= SETTLED_S
+        return self._clock() - self._coordinating_since >= READY_AFTER_S
 
     @property
     def members(self) -> list[str]:
         """The instances that follow this one."""
-        oldest = self._clock() - MEMBER_KEPT_S
+        oldest = self._clock() - MEMBER_TIMEOUT_S
         for name in [n for n, at in self._members.items() if at < oldest]:
             del self._members[name]
             self._shared.forget(name)
@@ -173,14 +173,14 @@
 
     def wake_members(self) -> None:
         """Give members that wait for news a picture now: a replica leaves, a zone is cut off."""
-        self._news_there.set()
-        self._news_there = asyncio.Event()
+        self._news_event.set()
+        self._news_event = asyncio.Event()
         if self._line is not None:
             self._line.wake()
 
     async def _on_note(self, sender: str, body: bytes) -> bytes:
         note = decode(body, MemberNote)
-        self._take(note)
+        self._apply_note(note)
         if note.wait_s <= 0.0:
             # Told unasked: something has begun or ended, and nobody waits.
             self._book.touch()
@@ -195,12 +195,12 @@
     async def _wait_for_news(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
-                await self._news_there.wait()
+                await self._news_event.wait()
         except TimeoutError:
             # Nothing happened meanwhile: the member gets the usual picture.
             return
 
-    def _take(self, note: MemberNote) -> None:
+    def _apply_note(self, note: MemberNote) -> None:
         now = self._clock()
         name = note.load.instance
         if name not in self._members:
@@ -248,7 +248,7 @@
 
     def _picture_for(self, note: MemberNote) -> Picture:
         member = note.load.instance
-        replicas = [r for s in self._services() for r in self._engines(s.name)]
+        replicas = [r for s in self._services() for r in self._engine_replicas(s.name)]
         present = {share.replica for share in note.load.shares}
         told = [r for r in replicas if note.whole or r.name in present]
         listed = listed_replicas(self._directory, self._clock())
@@ -272,9 +272,9 @@
             paces=self._paces.for_member(member, new=not note.list_digest),
         )
 
-    def _engines(self, service: str) -> list[Replica]:
+    def _engine_replicas(self, service: str) -> list[Replica]:
         """Return the replicas that stay or left lately: generations still run at these."""
-        since = self._clock() - LEAVING_TOLD_S
+        since = self._clock() - LEAVING_REPORTED_S
         names = self._directory.leaving(service, since)
         leaving = [r for r in map(self._directory.find, names) if r is not None]
         staying = self._directory.staying(service)
--- a/reachlink/coordination/_kept_line.py
+++ b/reachlink/coordination/_kept_line.py
@@ -3,7 +3,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from reachlink.coordination._room_seen import RoomSeen
+from reachlink.coordination._unfit_cache import UnfitCache
 from reachlink.requests import PlaceAnswer, PlaceQuestion
 from reachlink.scheduling import Line, Promise, Refuse, Wait
 
@@ -37,13 +37,13 @@
     # Those that have arrived, by their names: what was asked first, and what they had been
     # promised when they were refused before.
     arrived: dict[str, tuple[PlaceQuestion, Promise | None]] = field(default_factory=dict)
-    seen: RoomSeen = field(default_factory=RoomSeen)
+    unfit: UnfitCache = field(default_factory=UnfitCache)
 
-    def tell(self, request_id: str, otherwise: Wait | Refuse) -> None:
+    def answer_without_place(self, request_id: str, otherwise: Wait | Refuse) -> None:
         """Answer a held question with what its request should do."""
-        self.put(request_id, PlaceAnswer(settled=True, otherwise=otherwise))
+        self.answer(request_id, PlaceAnswer(settled=True, otherwise=otherwise))
 
-    def put(self, request_id: str, answer: PlaceAnswer) -> None:
+    def answer(self, request_id: str, answer: PlaceAnswer) -> None:
         """Answer a held question, if there is one."""
         held = self.held.pop(request_id, None)
         if held is not None and not held.answer.done():
--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -23,14 +23,14 @@
 
 # How long an answer may take, in seconds: some milliseconds within a region. A request
 # waits for it.
-ANSWER_S = 0.1
+ANSWER_TIMEOUT_S = 0.1
 # How many instances are asked before this one decides alone: one, and who takes over.
-ASKED = 2
+MAX_ASKED = 2
 # How long one that did not answer is not asked, in seconds.
-AVOIDED_S = 1.0
+RETRY_AFTER_SILENCE_S = 1.0
 # Limits that were named longer ago than this are not told, in seconds: a replica that gets
 # a request in ten seconds at the least names its limit more often.
-TOLD_S = 30.0
+MAX_NOTE_AGE_S = 30.0
 
 
 class LimitExchange(LimitGate):
@@ -77,7 +77,7 @@
         self._addresses: dict[str, str] = {}
         self._avoided_until: dict[str, float] = {}
         # Which part of limits this instance granted last.
-        self._share = 0.0
+        self._last_share = 0.0
         bus.handle(CHANNEL_LIMIT, self._on_question)
         self._log: Any = get_logger()
 
@@ -96,11 +96,11 @@
             asked.patience_s,
             asked.background,
         )
-        wait_s = await self._ask_in_turn(question)
+        wait_s = await self._ask_owners(question)
         if wait_s is None:
             self._count("alone")
             wait_s = self._sharing.grant_alone(question, self._clock())
-            return _soon(wait_s, asked.patience_s)
+            return _retry_delay_s(wait_s, asked.patience_s)
         self._count("granted" if wait_s <= asked.patience_s else "refused")
         return wait_s
 
@@ -115,7 +115,7 @@
         return [
             LimitNote(name, per_s, round(now - at, 3))
             for address, (per_s, at) in said.items()
-            if now - at < TOLD_S and (name := self._directory.name_at(address))
+            if now - at < MAX_NOTE_AGE_S and (name := self._directory.name_at(address))
         ]
 
     def take(self, notes: Iterable[LimitNote]) -> None:
@@ -135,9 +135,9 @@
                     "limit_told", replica=note.replica, per_s=note.per_s, age_s=note.age_s
                 )
 
-    async def _ask_in_turn(self, question: LimitQuestion) -> float | None:
+    async def _ask_owners(self, question: LimitQuestion) -> float | None:
         """Return what the limit's owner says; None where nobody does that is reached."""
-        for name in self._sharing.owners(question.replica)[:ASKED]:
+        for name in self._sharing.owners(question.replica)[:MAX_ASKED]:
             if name == self._name:
                 answer: LimitAnswer | None = self._answer(question)
             else:
@@ -152,11 +152,11 @@
             return None
         try:
             raw = await self._bus.call(
-                self._addresses[name], CHANNEL_LIMIT, encode(question), ANSWER_S
+                self._addresses[name], CHANNEL_LIMIT, encode(question), ANSWER_TIMEOUT_S
             )
             return decode(raw, LimitAnswer)
         except MessagingError as error:
-            self._avoided_until[name] = self._clock() + AVOIDED_S
+            self._avoided_until[name] = self._clock() + RETRY_AFTER_SILENCE_S
             self._log.info(
                 "limit_unanswered", asked=name, replica=question.replica, reason=str(error)
             )
@@ -169,16 +169,16 @@
         now = self._clock()
         if not self._sharing.is_owner(question.replica, now):
             return LimitAnswer(decided=False)
-        self._note_share(self._sharing.share(now))
+        self._log_share_change(self._sharing.share(now))
         return LimitAnswer(decided=True, wait_s=self._sharing.grant(question, now))
 
-    def _note_share(self, share: float) -> None:
-        if share != self._share:
-            self._share = share
+    def _log_share_change(self, share: float) -> None:
+        if share != self._last_share:
+            self._last_share = share
             self._log.info("limit_share", share=round(share, 3))
 
 
-def _soon(wait_s: float, patience_s: float) -> float:
+def _retry_delay_s(wait_s: float, patience_s: float) -> float:
     """Return when to come back for a permit that an instance on its own has only much later.
 
     By then the limit has an owner again, or another instance that callers come to does.
--- a/reachlink/coordination/_line_asker.py
+++ b/reachlink/coordination/_line_asker.py
@@ -6,7 +6,7 @@
 
 from msgspec import structs
 
-from reachlink.coordination._asking import ANSWER_S, ask_in_turn
+from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
 from reachlink.coordination._attachment import Attachment
 from reachlink.coordination._line_exchange import LineExchange
 from reachlink.coordination._messages import CHANNEL_LEFT, CHANNEL_PLACE, LineLeft
@@ -18,7 +18,7 @@
 from reachlink.telemetry import get_logger
 
 # Owners whose loss is waited for, some 200 B each: more than a zone has coordinators.
-MAX_OWNERS = 64
+MAX_TRACKED_OWNERS = 64
 
 
 class _LostMeanwhileError(CallTimeoutError):
@@ -70,7 +70,7 @@
         self._silent_zones = silent_zones
         self._clock = clock
         # Set once an owner does not answer, for those whose answers it holds.
-        self._lost: dict[str, asyncio.Event] = {}
+        self._lost_owners: dict[str, asyncio.Event] = {}
         self._log: Any = get_logger()
 
     async def ask(self, question: PlaceQuestion) -> PlaceAnswer | None:
@@ -79,19 +79,19 @@
         An owner that has just started keeps no line: it decides only where no other does.
         Where none answers, this instance keeps a line for its own requests.
         """
-        answer = await self._ask_in_turn(question)
-        self._count("silent" if answer is None else _ending(answer))
+        answer = await self._ask_owners(question)
+        self._count("silent" if answer is None else _outcome_of(answer))
         return answer
 
-    async def _ask_in_turn(self, question: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_owners(self, question: PlaceQuestion) -> PlaceAnswer | None:
         owners = self._owners(question.service)
-        answer, unsettled = await ask_in_turn(
+        answer, unsettled = await ask_in_order(
             owners, lambda owner: self._ask_owner(owner, question)
         )
         if answer is not None:
             return answer
         if unsettled is None:
-            return await self._keep_own(question)
+            return await self._queue_locally(question)
         if unsettled.name == self._name:
             return None
         insists = structs.replace(question, insist=True, hold_s=0.0)
@@ -114,7 +114,7 @@
             return self._attachment.owners(service, now)
         return self._attachment.owners_over_zones(service, now, self._silent_zones())
 
-    async def _keep_own(self, question: PlaceQuestion) -> PlaceAnswer:
+    async def _queue_locally(self, question: PlaceQuestion) -> PlaceAnswer:
         if not question.hold_s:
             self._log.info("line_kept_alone", request_id=question.request_id)
         return await self._own.answer_own(question)
@@ -125,50 +125,52 @@
             return decode(raw, PlaceAnswer)
         except _LostMeanwhileError:
             # Noted already, by who has found it.
-            self._leave(owner, question)
+            self._send_left(owner, question)
             return None
         except MessagingError as error:
             self._note_silence(owner, str(error))
-            self._leave(owner, question)
+            self._send_left(owner, question)
             return None
         except asyncio.CancelledError:
-            self._leave(owner, question)
+            self._send_left(owner, question)
             raise
 
-    def _leave(self, owner: InstanceRecord, question: PlaceQuestion) -> None:
+    def _send_left(self, owner: InstanceRecord, question: PlaceQuestion) -> None:
         """Tell an owner that no answer is waited for any more: a place would stay empty."""
         left = LineLeft(question.service, question.request_id)
         self._bus.send(owner.address, CHANNEL_LEFT, encode(left))
 
     async def _call(self, owner: InstanceRecord, question: PlaceQuestion) -> bytes:
         hold_s = question.hold_s or 0.0
-        call = self._bus.call(owner.address, CHANNEL_PLACE, encode(question), ANSWER_S + hold_s)
+        call = self._bus.call(
+            owner.address, CHANNEL_PLACE, encode(question), ANSWER_TIMEOUT_S + hold_s
+        )
         if hold_s <= 0.0:
             return await call
         # Another question may show before that the owner is lost.
-        held = asyncio.ensure_future(call)
-        if len(self._lost) >= MAX_OWNERS:
-            self._lost.clear()
-        lost = self._lost.setdefault(owner.name, asyncio.Event())
-        loses = asyncio.ensure_future(lost.wait())
+        call_task = asyncio.ensure_future(call)
+        if len(self._lost_owners) >= MAX_TRACKED_OWNERS:
+            self._lost_owners.clear()
+        lost = self._lost_owners.setdefault(owner.name, asyncio.Event())
+        lost_task = asyncio.ensure_future(lost.wait())
         try:
-            await asyncio.wait({held, loses}, return_when=asyncio.FIRST_COMPLETED)
-            if held.done():
-                return held.result()
+            await asyncio.wait({call_task, lost_task}, return_when=asyncio.FIRST_COMPLETED)
+            if call_task.done():
+                return call_task.result()
             raise _LostMeanwhileError(f"{CHANNEL_PLACE} at {owner.address}: lost meanwhile")
         finally:
-            held.cancel()
-            loses.cancel()
+            call_task.cancel()
+            lost_task.cancel()
 
     def _note_silence(self, owner: InstanceRecord, reason: str) -> None:
-        self._attachment.note_silence(owner.name, self._clock())
-        lost = self._lost.pop(owner.name, None)
+        self._attachment.mark_silent(owner.name, self._clock())
+        lost = self._lost_owners.pop(owner.name, None)
         if lost is not None:
             lost.set()
         self._log.info("line_owner_silent", owner=owner.name, reason=reason)
 
 
-def _ending(answer: PlaceAnswer) -> str:
+def _outcome_of(answer: PlaceAnswer) -> str:
     if answer.replica is not None:
         return "placed"
     if isinstance(answer.otherwise, Wait):
--- a/reachlink/coordination/_line_exchange.py
+++ b/reachlink/coordination/_line_exchange.py
@@ -164,7 +164,7 @@
         waiting = kept.line.leave(request_id, self._clock())
         if waiting is not None:
             self._outcomes.left(kept, waiting, "gone")
-        kept.tell(request_id, Wait(0.0))
+        kept.answer_without_place(request_id, Wait(0.0))
 
     def _service(self, name: str) -> Service | None:
         return next((s for s in self._services() if s.name == name), None)
@@ -225,7 +225,7 @@
     ) -> PlaceAnswer:
         """Return the answer once there is one, or that it waits yet."""
         # A question that its asker has given up is answered first.
-        kept.tell(question.request_id, Wait(0.0))
+        kept.answer_without_place(question.request_id, Wait(0.0))
         future: asyncio.Future[PlaceAnswer] = asyncio.get_running_loop().create_future()
         held = HeldQuestion(question, self._clock() + hold_s, future)
         kept.held[question.request_id] = held
@@ -244,7 +244,7 @@
     def _make_room(self, kept: KeptLine, now: float) -> None:
         while (shed := kept.line.shed(now)) is not None:
             answer = self._outcomes.refused(kept, shed, RefusalReason.LINE_FULL, now)
-            kept.put(shed.request_id, answer)
+            kept.answer(shed.request_id, answer)
 
     def _look_from_now_on(self) -> None:
         """Look for room for as long as somebody waits."""
@@ -286,11 +286,11 @@
         for waiting in kept.line.expire(now):
             if waiting.request_id in kept.held and now >= waiting.give_up_at:
                 answer = self._outcomes.refused(kept, waiting, RefusalReason.NO_ROOM, now)
-                kept.put(waiting.request_id, answer)
+                kept.answer(waiting.request_id, answer)
             else:
                 self._outcomes.left(kept, waiting, "lease")
                 # This process stood still: who is there still asks again.
-                kept.tell(waiting.request_id, Wait(0.0))
+                kept.answer_without_place(waiting.request_id, Wait(0.0))
 
 
 def _ever_fits(service: Service, need: Need) -> bool:
--- a/reachlink/coordination/_line_grants.py
+++ b/reachlink/coordination/_line_grants.py
@@ -5,10 +5,10 @@
 
 from msgspec import structs
 
-from reachlink.coordination._fresh_grants import FreshGrants
 from reachlink.coordination._kept_line import HeldQuestion, KeptLine
 from reachlink.coordination._line_outcomes import LineOutcomes
-from reachlink.coordination._room_seen import constraints_of
+from reachlink.coordination._recent_grants import RecentGrants
+from reachlink.coordination._unfit_cache import constraints_of
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
     ListedReplica,
@@ -69,7 +69,7 @@
         self._placing = placing
         self._book = book
         self._shared = shared
-        self._fresh = FreshGrants(shared, clock)
+        self._recent_grants = RecentGrants(shared, clock)
         self._directory = directory
         self._outcomes = outcomes
         self._clock = clock
@@ -90,7 +90,7 @@
 
     def grant_in_order(self, kept: KeptLine, service: Service, now: float) -> None:
         """Grant what room there is to those who wait."""
-        kept.seen.begin(now)
+        kept.unfit.clear(now)
         for _ in range(GRANTED):
             if not self._grant_next(kept, service, now):
                 return
@@ -99,12 +99,12 @@
         self, kept: KeptLine, service: Service, question: PlaceQuestion, now: float
     ) -> bool:
         """Return whether a place is free for a request, though others go first."""
-        kept.seen.drop_old(now)
-        if not kept.seen.may_fit(question):
+        kept.unfit.drop_expired(now)
+        if not kept.unfit.may_fit(question):
             return False
         if self._placing.has_room(service, question):
             return True
-        kept.seen.note_unfit(question)
+        kept.unfit.add(question)
         return False
 
     def _grant_next(self, kept: KeptLine, service: Service, now: float) -> bool:
@@ -123,7 +123,7 @@
         kept_back: frozenset[str] = frozenset()
         compared = 0
         for waiting, held in asked:
-            if kept.seen.may_fit(held.question) and compared < COMPARED:
+            if kept.unfit.may_fit(held.question) and compared < COMPARED:
                 compared += 1
                 if self._grant(kept, service, waiting, held, now, kept_back):
                     _note_passed(passed, now)
@@ -133,7 +133,7 @@
                 if waiting.holds_back(now):
                     kept_back |= self._kept_back(service, held.question)
         # Those who were not compared, by chance: each has its turn.
-        left = [(waiting, held) for waiting, held in smallest if kept.seen.may_fit(held.question)]
+        left = [(waiting, held) for waiting, held in smallest if kept.unfit.may_fit(held.question)]
         for waiting, held in self._random.sample(left, min(COMPARED, len(left))):
             if self._grant(kept, service, waiting, held, now, kept_back):
                 _note_passed(passed, now)
@@ -163,13 +163,13 @@
         excluded = (*held.question.excluded, *kept_back)
         start = self._placing.start(service, structs.replace(held.question, excluded=excluded))
         if not isinstance(start, Begin):
-            kept.seen.note_unfit(held.question)
+            kept.unfit.add(held.question)
             return False
         replica = self.take(kept, waiting, held.question, start.replica, now)
         if replica is None:
-            kept.seen.note_unfit(held.question)
+            kept.unfit.add(held.question)
             return False
-        kept.put(waiting.request_id, PlaceAnswer(settled=True, replica=replica))
+        kept.answer(waiting.request_id, PlaceAnswer(settled=True, replica=replica))
         return True
 
     def take(
@@ -194,7 +194,7 @@
         if replica is None:
             return None
         if question.instance != self._name:
-            self._fresh.add(question.instance, question.occupies(name))
+            self._recent_grants.add(question.instance, question.occupies(name))
             self._book.touch()
         else:
             self._shared.add(self._name, question.occupies(name), self._clock())
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -6,7 +6,7 @@
 
 from msgspec import structs
 
-from reachlink.coordination._asking import ANSWER_S, ask_in_turn
+from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
 from reachlink.coordination._attachment import Attachment
 from reachlink.coordination._limit_exchange import LimitExchange
 from reachlink.coordination._line_asker import LineAsker
@@ -39,14 +39,14 @@
 WAIT_MARGIN_S = 0.3
 # Shortest time between two notes of changes, and between two notes with pictures, in
 # seconds: a coordinator that has not read the list yet is asked again soon.
-FASTEST_S = 0.03
-FOLLOW_S = 0.1
+MIN_SEND_INTERVAL_S = 0.03
+MIN_POLL_INTERVAL_S = 0.1
 # Time between two pictures of all replicas, in seconds; those between tell only of
 # replicas where this instance has something, in a third of the bytes. Others are looked at
 # only to ask in vain less often.
-WHOLE_S = 0.9
+FULL_PICTURE_INTERVAL_S = 0.9
 # A picture older than this says nothing any more, in seconds.
-PICTURE_KEPT_S = 2.5
+MAX_PICTURE_AGE_S = 2.5
 
 
 class Member:
@@ -113,21 +113,21 @@
         self._clock = clock
         self._line: LineAsker | None = None
         self._picture: Picture | None = None
-        self._pictured_at = float("-inf")
+        self._picture_at = float("-inf")
         self._has_list = False
         # What the coordinator told of each replica last, and when of all of them.
         self._shares: dict[str, ReplicaShare] = {}
-        self._whole_at = float("-inf")
+        self._full_picture_at = float("-inf")
         self._changed = asyncio.Event()
         # Set while this instance is a member.
-        self._follows = asyncio.Event()
+        self._is_member = asyncio.Event()
         book.listen(self._changed.set)
         self._log: Any = get_logger()
 
     @property
     def picture(self) -> Picture | None:
         """What the coordinator said last; None where that is too long ago."""
-        if self._clock() - self._pictured_at > PICTURE_KEPT_S:
+        if self._clock() - self._picture_at > MAX_PICTURE_AGE_S:
             return None
         return self._picture
 
@@ -147,9 +147,9 @@
         for address in before - {record.address for record in self._attachment.coordinators}:
             self._bus.forget(address)
         if self._attachment.is_member:
-            self._follows.set()
+            self._is_member.set()
         else:
-            self._follows.clear()
+            self._is_member.clear()
 
     async def ask(self, question: PlaceQuestion) -> PlaceAnswer | None:
         """Return what a coordinator decides; None where this instance should.
@@ -160,7 +160,7 @@
             return await self._line.ask(structs.replace(question, instance=self._name))
         if not self._attachment.is_member:
             return None
-        answer = await self._ask_in_turn(structs.replace(question, instance=self._name))
+        answer = await self._ask_coordinators(structs.replace(question, instance=self._name))
         if answer is None:
             self._count("silent")
             self._log.info("coordinators_silent", request_id=question.request_id)
@@ -168,9 +168,9 @@
             self._count("no_room" if answer.replica is None else "placed")
         return answer
 
-    async def _ask_in_turn(self, question: PlaceQuestion) -> PlaceAnswer | None:
-        coordinators = self._attachment.preferred(self._clock())
-        answer, unsettled = await ask_in_turn(
+    async def _ask_coordinators(self, question: PlaceQuestion) -> PlaceAnswer | None:
+        coordinators = self._attachment.by_preference(self._clock())
+        answer, unsettled = await ask_in_order(
             coordinators, lambda one: self._ask_one(one, question)
         )
         if unsettled is None:
@@ -183,7 +183,7 @@
     ) -> PlaceAnswer | None:
         try:
             raw = await self._bus.call(
-                coordinator.address, CHANNEL_PLACE, encode(question), ANSWER_S
+                coordinator.address, CHANNEL_PLACE, encode(question), ANSWER_TIMEOUT_S
             )
             return decode(raw, PlaceAnswer)
         except MessagingError as error:
@@ -191,30 +191,30 @@
             return None
 
     def _note_silence(self, coordinator: InstanceRecord, reason: str) -> None:
-        self._attachment.note_silence(coordinator.name, self._clock())
+        self._attachment.mark_silent(coordinator.name, self._clock())
         self._log.info("coordinator_silent", coordinator=coordinator.name, reason=reason)
 
     async def run(self) -> None:
         """Work until cancelled."""
-        await asyncio.gather(self._follow(), self._tell())
+        await asyncio.gather(self._poll(), self._send_changes())
 
-    async def _follow(self) -> None:
+    async def _poll(self) -> None:
         """Have the picture kept up to date."""
         while True:
-            await self._follows.wait()
-            coordinator = self._attachment.preferred(self._clock())[0]
+            await self._is_member.wait()
+            coordinator = self._attachment.by_preference(self._clock())[0]
             started = self._clock()
-            await self._follow_once(coordinator)
-            await asyncio.sleep(max(0.0, FOLLOW_S - (self._clock() - started)))
+            await self._poll_once(coordinator)
+            await asyncio.sleep(max(0.0, MIN_POLL_INTERVAL_S - (self._clock() - started)))
 
-    async def _follow_once(self, coordinator: InstanceRecord) -> None:
+    async def _poll_once(self, coordinator: InstanceRecord) -> None:
         wait_s = self._wait_s(coordinator)
-        note = encode(self._note(coordinator.name, wait_s))
+        note = encode(self._make_note(coordinator.name, wait_s))
         try:
             raw = await self._bus.call(
                 coordinator.address, CHANNEL_MEMBER, note, wait_s + WAIT_MARGIN_S
             )
-            self._take(decode(raw, Picture))
+            self._apply_picture(decode(raw, Picture))
         except MessagingError as error:
             self._note_silence(coordinator, str(error))
 
@@ -225,18 +225,18 @@
             return FIRST_WAIT_S
         return BUSY_WAIT_S if self._book.carrying() else IDLE_WAIT_S
 
-    async def _tell(self) -> None:
+    async def _send_changes(self) -> None:
         """Tell of each change at once."""
         while True:
             await self._changed.wait()
             self._changed.clear()
             if self._attachment.is_member:
-                coordinator = self._attachment.preferred(self._clock())[0]
-                note = encode(self._note(coordinator.name, 0.0))
+                coordinator = self._attachment.by_preference(self._clock())[0]
+                note = encode(self._make_note(coordinator.name, 0.0))
                 self._bus.send(coordinator.address, CHANNEL_MEMBER, note)
-            await asyncio.sleep(FASTEST_S)
+            await asyncio.sleep(MIN_SEND_INTERVAL_S)
 
-    def _note(self, coordinator: str, wait_s: float) -> MemberNote:
+    def _make_note(self, coordinator: str, wait_s: float) -> MemberNote:
         load = LoadNote(
             self._name,
             self._book.shares(self._clock()),
@@ -247,19 +247,19 @@
         )
         known = self._picture is not None and self._picture.coordinator == coordinator
         digest = self._picture.list_digest if self._picture is not None and known else 0
-        whole = not known or self._clock() - self._whole_at > WHOLE_S
+        whole = not known or self._clock() - self._full_picture_at > FULL_PICTURE_INTERVAL_S
         return MemberNote(load, self._book.take_outcomes(), digest, whole, wait_s)
 
-    def _take(self, picture: Picture) -> None:
+    def _apply_picture(self, picture: Picture) -> None:
         now = self._clock()
         before = self._picture
         if before is not None and before.coordinator != picture.coordinator:
             self._shared.forget(before.coordinator)
         if before is None or before.coordinator != picture.coordinator:
             self._log.info("coordinator_followed", coordinator=picture.coordinator)
-        self._picture, self._pictured_at = picture, now
+        self._picture, self._picture_at = picture, now
         if picture.whole:
-            self._shares, self._whole_at = {}, now
+            self._shares, self._full_picture_at = {}, now
         self._shares.update((share.replica, share) for share in picture.shares)
         self._shared.take(LoadNote(picture.coordinator, list(self._shares.values())), now)
         if picture.listed:
--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -9,36 +9,36 @@
 from reachlink.scheduling import PaceBook, PaceNote, PaceSource, pace_note
 
 # Paces in one note at the most: some 60 B each.
-MOST_TOLD = 16
+MAX_NOTES = 16
 # All is told again after this time, in seconds: a note may have been lost.
-TOLD_AGAIN_S = 30.0
+RESEND_INTERVAL_S = 30.0
 # Who was told what is kept of so many: well above the members of one coordinator.
-MAX_LISTENERS = 500
+MAX_RECIPIENTS = 500
 
-OWN = (PaceSource.TOLD, PaceSource.SEEN)
-OWN_AND_MEMBERS = (*OWN, PaceSource.MEMBER)
-ALL = (*OWN_AND_MEMBERS, PaceSource.COORDINATOR)
+OWN_SOURCES = (PaceSource.TOLD, PaceSource.SEEN)
+PEER_SOURCES = (*OWN_SOURCES, PaceSource.MEMBER)
+ALL_SOURCES = (*PEER_SOURCES, PaceSource.COORDINATOR)
 # The other coordinators, who all get the same note.
-PEERS = ""
+PEERS_KEY = ""
 
 
 @dataclass(slots=True)
-class _Listener:
-    """How much one listener knows.
+class _Recipient:
+    """How much one recipient knows.
 
     Attributes
     ----------
-    since : float
+    resend_started_at : float
         When all was begun to be told to it last, in monotonic seconds.
-    number : int
+    sent_up_to : int
         Number of the last news that it was told.
-    again : int, optional
+    resent_up_to : int, optional
         The same of what it is told again; None where that is over.
     """
 
-    since: float
-    number: int = 0
-    again: int | None = None
+    resend_started_at: float
+    sent_up_to: int = 0
+    resent_up_to: int | None = None
 
 
 class PaceExchange:
@@ -66,21 +66,21 @@
         self._book = book
         self._directory = directory
         self._clock = clock
-        self._listeners: OrderedDict[str, _Listener] = OrderedDict()
+        self._recipients: OrderedDict[str, _Recipient] = OrderedDict()
 
     def for_coordinator(self, name: str) -> list[PaceNote]:
         """Return what this member tells the coordinator that it follows."""
-        return self._notes(name, OWN)
+        return self._notes(name, OWN_SOURCES)
 
     def for_peers(self) -> list[PaceNote]:
         """Return what this coordinator tells the others."""
-        return self._notes(PEERS, OWN_AND_MEMBERS)
+        return self._notes(PEERS_KEY, PEER_SOURCES)
 
     def for_member(self, name: str, new: bool = False) -> list[PaceNote]:
         """Return what this coordinator tells a member, all of it to one that is new."""
         if new:
-            self._listeners.pop(name, None)
-        return self._notes(name, ALL)
+            self._recipients.pop(name, None)
+        return self._notes(name, ALL_SOURCES)
 
     def take_from_member(self, name: str, notes: Iterable[PaceNote]) -> None:
         """Take what a member tells."""
@@ -90,53 +90,53 @@
         """Take what a coordinator tells, its members or the others."""
         self._take(notes, PaceSource.COORDINATOR, name)
 
-    def _notes(self, listener: str, sources: tuple[PaceSource, ...]) -> list[PaceNote]:
+    def _notes(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceNote]:
         now = self._clock()
-        known = self._listener(listener, now)
-        known.number, replicas = self._book.changed_since(
-            known.number, sources, MOST_TOLD, without=listener
+        known = self._recipient(recipient, now)
+        known.sent_up_to, replicas = self._book.changed_since(
+            known.sent_up_to, sources, MAX_NOTES, without=recipient
         )
-        replicas += self._told_again(known, sources, replicas, listener)
+        replicas += self._resent(known, sources, replicas, recipient)
         return [
             pace_note(name, self._book.observed(name, now), self._directory.born(name))
             for name in replicas
         ]
 
-    def _told_again(
-        self, known: _Listener, sources: tuple[PaceSource, ...], news: list[str], listener: str
+    def _resent(
+        self, known: _Recipient, sources: tuple[PaceSource, ...], news: list[str], recipient: str
     ) -> list[str]:
         """Return what is told again beside news, which goes first."""
-        room = MOST_TOLD - len(news)
-        if known.again is None or not room:
+        room = MAX_NOTES - len(news)
+        if known.resent_up_to is None or not room:
             return []
-        known.again, replicas = self._book.changed_since(
-            known.again, sources, room, without=listener
+        known.resent_up_to, replicas = self._book.changed_since(
+            known.resent_up_to, sources, room, without=recipient
         )
-        if known.again >= known.number:
-            known.again = None
+        if known.resent_up_to >= known.sent_up_to:
+            known.resent_up_to = None
         return [name for name in replicas if name not in news]
 
-    def _listener(self, name: str, now: float) -> _Listener:
-        found = self._listeners.get(name)
+    def _recipient(self, name: str, now: float) -> _Recipient:
+        found = self._recipients.get(name)
         if found is None:
-            found = self._listeners[name] = _Listener(now)
-            if len(self._listeners) > MAX_LISTENERS:
-                self._listeners.popitem(last=False)
-        elif found.again is None and now - found.since >= TOLD_AGAIN_S:
+            found = self._recipients[name] = _Recipient(now)
+            if len(self._recipients) > MAX_RECIPIENTS:
+                self._recipients.popitem(last=False)
+        elif found.resent_up_to is None and now - found.resend_started_at >= RESEND_INTERVAL_S:
             # After what was told before is over: however long that took, it ends.
-            found.since, found.again = now, 0
-            self._listeners.move_to_end(name)
+            found.resend_started_at, found.resent_up_to = now, 0
+            self._recipients.move_to_end(name)
         return found
 
-    def _take(self, notes: Iterable[PaceNote], source: PaceSource, teller: str) -> None:
+    def _take(self, notes: Iterable[PaceNote], source: PaceSource, sender: str) -> None:
         now = self._clock()
         for note in notes:
             replica = self._directory.find(note.replica)
-            if replica is None or not self._is_of_this_life(note, now):
+            if replica is None or not self._is_current_lifetime(note, now):
                 continue
-            self._book.hear(replica.upstream, note.replica, note.heard(now), source, teller, now)
+            self._book.hear(replica.upstream, note.replica, note.heard(now), source, sender, now)
 
-    def _is_of_this_life(self, note: PaceNote, now: float) -> bool:
+    def _is_current_lifetime(self, note: PaceNote, now: float) -> bool:
         """Return whether a note is of a replica's present lifetime, be it news that it is one."""
         if 0 < note.born < self._directory.born(note.replica):
             return False
--- a/reachlink/coordination/_quarantine_exchange.py
+++ b/reachlink/coordination/_quarantine_exchange.py
@@ -20,22 +20,22 @@
 
 # How long another instance may take to tell everything, in seconds: 4,000 crashes are some
 # 120 KB, 0.2 s over a link of 5 Mbit/s.
-ANSWER_S = 0.5
+ANSWER_TIMEOUT_S = 0.5
 # How long what others know may differ before it is asked for, in seconds: notes under way
 # take less than a second to reach everybody.
-DIFFERS_S = 1.0
+RESYNC_DELAY_S = 1.0
 # How long before it is asked for again where asking did not make it the same, in seconds,
 # at the most; doubled each time. In a flood two instances may keep different crashes, and
 # everything is 70 KB.
-LONGEST_DIFFERS_S = 30.0
+MAX_RESYNC_DELAY_S = 30.0
 # Time between two looks whether it differs, in seconds.
-LOOK_S = 0.25
+CHECK_INTERVAL_S = 0.25
 # How long a start waits to learn what the others know, in seconds: where all start at
 # once, nobody answers yet.
-LEARN_S = 1.0
+INITIAL_SYNC_TIMEOUT_S = 1.0
 # The same where there are only members, which come by themselves, and late where the
 # machine is busy.
-LEARN_FROM_MEMBERS_S = 3.0
+MEMBER_SYNC_TIMEOUT_S = 3.0
 
 
 class QuarantineExchange:
@@ -73,12 +73,12 @@
         # Whether there is no other instance at all.
         self._alone = False
         self._peers_known = asyncio.Event()
-        self._learned = False
+        self._initial_sync_done = False
         # Since when notes of others show that they know something else.
-        self._differs_since: float | None = None
-        self._differs_s = DIFFERS_S
+        self._out_of_sync_since: float | None = None
+        self._resync_delay_s = RESYNC_DELAY_S
         # Whether another instance has shown that it knows the same.
-        self._agrees = False
+        self._in_sync = False
         bus.handle(CHANNEL_QUARANTINE, self._on_question)
         bus.handle(CHANNEL_RELEASE, self._on_release)
         self._log: Any = get_logger()
@@ -86,7 +86,7 @@
     @property
     def learned(self) -> bool:
         """Whether what the others know was learned, or waited for in vain, or there are none."""
-        return self._learned or self._alone
+        return self._initial_sync_done or self._alone
 
     def take_peers(self, addresses: list[str], alone: bool) -> None:
         """Take the bus addresses of instances that can be asked.
@@ -121,47 +121,47 @@
         now = self._clock()
         news = self._quarantine.take(note, now)
         if note.digest == self._quarantine.digest():
-            self._differs_since = None
-            self._differs_s = DIFFERS_S
-            self._agrees = True
-        elif self._differs_since is None:
+            self._out_of_sync_since = None
+            self._resync_delay_s = RESYNC_DELAY_S
+            self._in_sync = True
+        elif self._out_of_sync_since is None:
             # One that knows nothing has just started: it is told before it sends.
-            self._differs_since = now if note.digest else now - self._differs_s
+            self._out_of_sync_since = now if note.digest else now - self._resync_delay_s
         return news
 
     async def run(self) -> None:
         """Work until cancelled."""
-        await self._learn_at_start()
+        await self._synchronize_at_start()
         while True:
-            await asyncio.sleep(LOOK_S)
-            since = self._differs_since
-            if since is not None and self._clock() - since >= self._differs_s:
-                self._differs_since = None
-                self._differs_s = min(LONGEST_DIFFERS_S, 2.0 * self._differs_s)
-                await self._learn()
-
-    async def _learn_at_start(self) -> None:
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            since = self._out_of_sync_since
+            if since is not None and self._clock() - since >= self._resync_delay_s:
+                self._out_of_sync_since = None
+                self._resync_delay_s = min(MAX_RESYNC_DELAY_S, 2.0 * self._resync_delay_s)
+                await self._synchronize()
+
+    async def _synchronize_at_start(self) -> None:
         started = self._clock()
         # Cut off from the control instances it may never come.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LEARN_S):
+            async with asyncio.timeout(INITIAL_SYNC_TIMEOUT_S):
                 await self._peers_known.wait()
-        while not (self._alone or self._agrees or await self._learn()):
-            patience = LEARN_S if self._peers else LEARN_FROM_MEMBERS_S
-            if self._clock() - started > patience:
+        while not (self._alone or self._in_sync or await self._synchronize()):
+            timeout_s = INITIAL_SYNC_TIMEOUT_S if self._peers else MEMBER_SYNC_TIMEOUT_S
+            if self._clock() - started > timeout_s:
                 self._log.info("quarantine_not_learned", peers=len(self._peers or ()))
                 break
-            await asyncio.sleep(LOOK_S)
-        self._learned = True
+            await asyncio.sleep(CHECK_INTERVAL_S)
+        self._initial_sync_done = True
 
-    async def _learn(self) -> bool:
+    async def _synchronize(self) -> bool:
         """Tell one of the others everything and be told the same; return whether it answered."""
         if not self._peers:
             return False
         address = self._random.choice(self._peers)
         try:
             known = encode(self._quarantine.everything(self._clock()))
-            raw = await self._bus.call(address, CHANNEL_QUARANTINE, known, ANSWER_S)
+            raw = await self._bus.call(address, CHANNEL_QUARANTINE, known, ANSWER_TIMEOUT_S)
             note = decode(raw, QuarantineNote)
         except MessagingError as error:
             self._log.info("quarantine_unanswered", peer=address, reason=str(error))
--- a/reachlink/coordination/_room_seen.py
+++ b/reachlink/coordination/_unfit_cache.py
@@ -3,34 +3,34 @@
 from reachlink.requests import PlaceQuestion
 
 # How long that is taken for true, in seconds: as often room is looked for.
-SEEN_S = 0.05
+UNFIT_KEPT_S = 0.05
 
 _Constraints = tuple[frozenset[str], tuple[str, ...] | None, bool]
 
 
-class RoomSeen:
+class UnfitCache:
     """The least memory that did not fit, by the replicas where requests may go."""
 
     def __init__(self) -> None:
         self._unfit: dict[_Constraints, int] = {}
         self._since = float("-inf")
 
-    def begin(self, now: float) -> None:
+    def clear(self, now: float) -> None:
         """Forget what was found: room is looked for anew."""
         self._unfit = {}
         self._since = now
 
-    def drop_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget what was found too long ago to be true."""
-        if now - self._since > SEEN_S:
-            self.begin(now)
+        if now - self._since > UNFIT_KEPT_S:
+            self.clear(now)
 
     def may_fit(self, question: PlaceQuestion) -> bool:
         """Return whether a request may find a place by what was found."""
         unfit = self._unfit.get(constraints_of(question))
         return unfit is None or question.tokens < unfit
 
-    def note_unfit(self, question: PlaceQuestion) -> None:
+    def add(self, question: PlaceQuestion) -> None:
         """Note that a request has found no place."""
         if self.may_fit(question):
             self._unfit[constraints_of(question)] = question.tokens
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -94,7 +94,7 @@
     for _ in range(5):
         ask(second)
     assert [a for a, _ in first.network.calls] == [first.record.name]
-    first.network.now += exchange.AVOIDED_S
+    first.network.now += exchange.RETRY_AFTER_SILENCE_S
     ask(second)
     assert len(first.network.calls) == 2
 
@@ -135,7 +135,7 @@
 
 def test_a_limit_that_was_not_named_for_long_is_not_told(fleet):
     one = fleet[0]
-    one.network.now += exchange.TOLD_S
+    one.network.now += exchange.MAX_NOTE_AGE_S
     assert one.limits.notes() == []
 
 
--- a/reachlink/coordination/tests/test_line_failures.py
+++ b/reachlink/coordination/tests/test_line_failures.py
@@ -7,7 +7,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from reachlink.coordination._asking import ANSWER_S
+from reachlink.coordination._asking import ANSWER_TIMEOUT_S
 from reachlink.coordination.tests.world import SERVICE, Instance, fleet
 from reachlink.requests import CallerRequest, LoadNote, RequestFailedError
 from reachlink.requests._dispatch import Dispatch
@@ -30,7 +30,7 @@
 TICK_S = 0.005
 # Longest that a member may take to have a place at another owner, in seconds: a held answer
 # that does not come, the question to the next, and its next look.
-MOVED_S = 0.5 + 2 * ANSWER_S + 0.1
+MOVED_S = 0.5 + 2 * ANSWER_TIMEOUT_S + 0.1
 
 
 @dataclass
@@ -182,7 +182,7 @@
         scene.network.silent.add(scene.owner.record.name)
         with capture_logs() as logs:
             scene.ask(member, "new", tokens=3_500)
-            await asyncio.sleep(ANSWER_S + 0.1)
+            await asyncio.sleep(ANSWER_TIMEOUT_S + 0.1)
         assert [line["event"] for line in logs].count("line_owner_silent") == 1
         scene.make_room()
         assert await scene.all_ended(20.0)
@@ -238,7 +238,7 @@
         await all_wait(scene, "id-1", "id-2")
         # One member loses the owner, the other does not.
         other = scene.others[1]
-        other.attachment.note_silence(scene.owner.record.name, scene.network.now)
+        other.attachment.mark_silent(scene.owner.record.name, scene.network.now)
         await asyncio.sleep(0.6)
         scene.make_room()
         assert await scene.all_ended(1.0)
--- a/reachlink/coordination/tests/test_line_grants.py
+++ b/reachlink/coordination/tests/test_line_grants.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from reachlink.coordination._fresh_grants import TOLD_AFTER_S, FreshGrants
+from reachlink.coordination._recent_grants import GRANT_COUNTED_S, RecentGrants
 from reachlink.coordination.tests.test_line import asked
 from reachlink.coordination.tests.test_line_failures import Scene, play
 from reachlink.coordination.tests.test_line_refusals import KNOWN_S, leave_free
@@ -165,15 +165,15 @@
     async def story() -> None:
         loop = asyncio.get_running_loop()
         shared = SharedLoad()
-        grants = FreshGrants(shared, loop.time)
+        grants = RecentGrants(shared, loop.time)
         counts = []
         for _ in range(2):
             grants.add("m1", ReplicaShare("r1", running=1, tokens=1_000))
             counts.append(shared.at("r1", loop.time()).tokens)
-            await asyncio.sleep(0.8 * TOLD_AFTER_S)
+            await asyncio.sleep(0.8 * GRANT_COUNTED_S)
         for _ in range(2):
             counts.append(shared.at("r1", loop.time()).tokens)
-            await asyncio.sleep(0.25 * TOLD_AFTER_S)
+            await asyncio.sleep(0.25 * GRANT_COUNTED_S)
         assert counts == [1_000, 2_000, 1_000, 0]
 
     run_virtually(story())
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reachlink.coordination import Picture
-from reachlink.coordination._pace_exchange import MAX_LISTENERS, MOST_TOLD, TOLD_AGAIN_S
+from reachlink.coordination._pace_exchange import MAX_NOTES, MAX_RECIPIENTS, RESEND_INTERVAL_S
 from reachlink.coordination.tests.world import REPLICAS, Instance, Network, fleet
 from reachlink.membership import ListedInstance
 from reachlink.messaging import decode, encode
@@ -101,7 +101,7 @@
     tell(c1, "r1", 0.55)
     c1.paces.for_peers()
     assert to_peer(c1, c2) == []
-    network.now += TOLD_AGAIN_S
+    network.now += RESEND_INTERVAL_S
     to_peer(c1, c2)
     assert steady(c2, "r1") == 0.55
 
@@ -150,13 +150,13 @@
 
 
 def test_a_note_holds_a_bounded_number_and_the_next_one_goes_on():
-    replicas = [ListedInstance(f"r{n}", SERVICE, "a", f"r{n}:1") for n in range(MOST_TOLD + 5)]
+    replicas = [ListedInstance(f"r{n}", SERVICE, "a", f"r{n}:1") for n in range(MAX_NOTES + 5)]
     c1 = alone(*replicas)
     for replica in replicas:
         tell(c1, replica.name, 1.2)
     first, second, third = (c1.paces.for_peers() for _ in range(3))
-    assert (len(first), len(second), len(third)) == (MOST_TOLD, 5, 0)
-    assert len({note.replica for note in first + second}) == MOST_TOLD + 5
+    assert (len(first), len(second), len(third)) == (MAX_NOTES, 5, 0)
+    assert len({note.replica for note in first + second}) == MAX_NOTES + 5
     assert len(encode(first[0])) < 20
 
 
@@ -175,9 +175,9 @@
 
 def test_memory_of_who_was_told_is_bounded():
     c1 = alone()
-    for number in range(MAX_LISTENERS + 20):
+    for number in range(MAX_RECIPIENTS + 20):
         c1.paces.for_member(f"m{number}")
-    assert len(c1.paces._listeners) == MAX_LISTENERS
+    assert len(c1.paces._recipients) == MAX_RECIPIENTS
 
 
 def test_notes_of_instances_that_know_no_paces_are_read():
@@ -196,16 +196,16 @@
         c1.network.now += every_s
         return [note.replica for note in c1.paces.for_member("m1")]
 
-    first = [name for _ in range(replicas // MOST_TOLD + 1) for name in notes()]
+    first = [name for _ in range(replicas // MAX_NOTES + 1) for name in notes()]
     assert set(first) == {replica.name for replica in listed}
     for number in range(5):
         # Until all notes there were to begin with are told again, and between.
-        for _ in range(int(0.8 * TOLD_AGAIN_S / every_s)):
+        for _ in range(int(0.8 * RESEND_INTERVAL_S / every_s)):
             notes()
         c1.book.paces.start_again(f"r{number}")
         tell(c1, f"r{number}", 2.4)
         assert f"r{number}" in notes()
     told: set[str] = set()
-    for _ in range(replicas // MOST_TOLD + 1 + int(TOLD_AGAIN_S / every_s)):
+    for _ in range(replicas // MAX_NOTES + 1 + int(RESEND_INTERVAL_S / every_s)):
         told.update(notes())
     assert told == {replica.name for replica in listed}
--- a/reachlink/coordination/tests/test_quarantine_exchange.py
+++ b/reachlink/coordination/tests/test_quarantine_exchange.py
@@ -6,7 +6,7 @@
 
 from reachlink.coordination import Picture
 from reachlink.coordination import _quarantine_exchange as exchange
-from reachlink.coordination._quarantine_exchange import DIFFERS_S
+from reachlink.coordination._quarantine_exchange import RESYNC_DELAY_S
 from reachlink.coordination.tests.world import Instance, Network
 from reachlink.messaging import decode, encode
 from reachlink.quarantine import QuarantineNote
@@ -53,7 +53,9 @@
         await member.follow()
         for number in range(3):
             crash(coordinator, number)
-        asking = network.handlers["e1"]["member"]("e2", encode(member.member._note("e1", 30.0)))
+        asking = network.handlers["e1"]["member"](
+            "e2", encode(member.member._make_note("e1", 30.0))
+        )
         picture = decode(await asyncio.wait_for(asking, 5.0), Picture)
         assert len(picture.quarantine.crashes) == 3
 
@@ -62,7 +64,7 @@
 
 def test_where_asking_does_not_help_it_is_asked_for_less_and_less(monkeypatch):
     """In a flood each keeps other crashes: their digests differ for good."""
-    monkeypatch.setattr(exchange, "LOOK_S", 0.01)
+    monkeypatch.setattr(exchange, "CHECK_INTERVAL_S", 0.01)
 
     async def work():
         network = Network()
@@ -116,7 +118,7 @@
         while not holds(other):
             assert one.crash_news.note().crashes == []
             other.crash_news.take(one.crash_news.note())
-            network.now += DIFFERS_S / 2.0
+            network.now += RESYNC_DELAY_S / 2.0
             await asyncio.sleep(0.05)
         running.cancel()
         assert one.quarantine.digest() == other.quarantine.digest()
@@ -184,7 +186,7 @@
         for number in range(3):
             crash(member, number)
         network.now += 10.0
-        note = member.member._note("e1", 30.0)
+        note = member.member._make_note("e1", 30.0)
         asking = network.handlers["e1"]["member"]("e2", encode(note))
         assert decode(await asyncio.wait_for(asking, 5.0), Picture).quarantine.digest == 0
 
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -217,8 +217,8 @@
 
     async def follow(self) -> None:
         """Exchange one note and picture with the preferred coordinator."""
-        coordinator = self.attachment.preferred(self.network.now)[0]
-        await self.member._follow_once(coordinator)
+        coordinator = self.attachment.by_preference(self.network.now)[0]
+        await self.member._poll_once(coordinator)
 
     def begin(self, replica: str, tokens: int = 9_000) -> Flight:
         """Have a request at a replica."""
