--- a/reachlink/scheduling/__init__.py
+++ b/reachlink/scheduling/__init__.py
@@ -1,4 +1,4 @@
-"""Where and when a request would best begin, if at all: one question, one answer."""
+"""Decides where and when a request starts, or that it is refused."""
 
 from reachlink.scheduling._choice import choose, is_calm
 from reachlink.scheduling._duration import latest_start_s
--- a/reachlink/scheduling/_burden.py
+++ b/reachlink/scheduling/_burden.py
@@ -1,28 +1,28 @@
-"""How loaded a replica would be; pure."""
+"""Load of a replica with one more request; free of I/O and clocks."""
 
 from reachlink.scheduling._option import Option
 
-# A prompt of this many tokens that is still to be read counts as much as half
-# of the memory: it holds up everything that comes after it.
+# Pending prompts of this many tokens add 1 to the load, as much as the whole memory: they
+# delay everything that comes after them.
 UNREAD_TOKENS = 6000.0
 
 
 def burden(option: Option, need_tokens: int, copies: bool = True) -> float:
-    """Return how loaded an engine would be with a request; 1 for fully.
+    """Return the load of an engine with one more request.
 
     Parameters
     ----------
     option : Option
-        The replica.
+        Replica.
     need_tokens : int
-        Memory that the request will need, in tokens.
+        Memory that the request needs at its end, in tokens.
     copies : bool
-        Whether copies that give way count.
+        Whether copies count, which are dropped on demand.
 
     Returns
     -------
     float
-        Infinite for a plain service.
+        Load; 1 if the memory or the slots are full, infinite for a plain service.
     """
     capacity = option.capacity_tokens
     if not capacity:
--- a/reachlink/scheduling/_choice.py
+++ b/reachlink/scheduling/_choice.py
@@ -1,4 +1,4 @@
-"""Which replica a request goes to; pure."""
+"""Choice of the replica for a request; free of I/O and clocks."""
 
 from collections.abc import Iterable
 from random import Random
@@ -10,32 +10,33 @@
 from reachlink.scheduling._option import Option
 from reachlink.scheduling._terms import REQUEST, Measure, Terms
 
-# A replica of another zone is taken where it has this many requests less.
+# A replica in another zone is chosen only if it has fewer requests by more than this number.
 FAR_HANDICAP = 0.5
-# Times that differ by this multiple of a call's usual work are alike: not all who hear
-# the same go to one replica.
+# Times within this multiple of a call's nominal duration count as equal, so that instances
+# with the same reports do not all choose one replica.
 NEAR_TIME = 0.75
-# Replicas that are weighed at the most, drawn at random: who hears the same sees others.
+# Maximum number of replicas that one decision compares. They are drawn at random, so that
+# instances with the same reports compare different replicas.
 MOST_WEIGHED = 32
-# Share of the calls and short answers that go by memory and counts all the same: what is
-# taken for slow is seen to be slow, or not.
+# Share of the calls and short answers that are placed by memory and request counts alone, so
+# that a replica that is estimated to be slow still gets requests that confirm or refute it.
 LOOK_SHARE = 0.01
-# What another zone costs a plain call, as a multiple of its usual work.
+# Cost of another zone for a plain call, as a multiple of its nominal duration.
 FAR_TIME = 0.08
 
 
 def is_calm(option: Option, reading_s: float) -> bool:
-    """Return whether a prompt that is sent now is read before a generation joins there.
+    """Return whether a prompt sent now is processed before a generation migrates there.
 
-    A generation that goes on at another replica gives its next event only between
-    the pieces of the prompts that are read there, and its caller sees the pause.
+    A migrated generation produces its next event only between the chunks of prompts that the
+    replica processes, so its caller would see a pause.
 
     Parameters
     ----------
     option : Option
-        The replica.
+        Replica.
     reading_s : float
-        How long a prompt takes until its first event, in seconds.
+        Time from sending the prompt to its first event, in seconds.
     """
     return option.joins_in_s is None or option.joins_in_s > reading_s
 
@@ -47,26 +48,26 @@
     terms: Terms = REQUEST,
     need: Need | None = None,
 ) -> str | None:
-    """Return the replica that a request should go to, or None where none is fit for it.
+    """Return the name of the replica that a request should go to, or None if none fits.
 
     Parameters
     ----------
     options : iterable of Option
-        Replicas that may get it.
+        Candidate replicas.
     need_tokens : int
-        Memory that it will need, in tokens.
+        Memory that the request needs at its end, in tokens.
     random : random.Random
-        Source of tie-breaks.
+        Source of random numbers for drawing and for breaking ties.
     terms : Terms
-        On what terms an engine's memory is given.
+        Rules by which the memory of engines is given.
     need : Need, optional
-        What it needs besides, and by when; where the pace of replicas is known, it goes by
-        time.
+        Resources and deadlines of the request. If given, and if the pace of replicas is
+        known, the choice is made by the expected times.
     """
     fit = [o for o in options if o.trust > 0.0 and _has_room(o, need_tokens, terms)]
     if not fit:
         return None
-    # A replica that recovers gets its share; where there is no other, all of it.
+    # A recovering replica gets only its share of the requests, or all if there is no other.
     usable = [o for o in fit if random.random() < o.trust] or fit
     if need is not None and _goes_by_time(usable, need, random):
         return _by_time(usable, need, random, terms).name
@@ -79,14 +80,14 @@
 
 
 def _goes_by_time(options: list[Option], need: Need, random: Random) -> bool:
-    """Return whether a request goes by time, and not by memory and counts alone."""
+    """Return whether a request is placed by time, not by memory and counts alone."""
     if all(o.pace is None for o in options):
         return False
     return need.output_tokens > LONG_TOKENS or random.random() >= LOOK_SHARE
 
 
 def _by_time(options: list[Option], need: Need, random: Random, terms: Terms) -> Option:
-    """Return one of those where the expected loss, or time, is least or nearly so."""
+    """Return a replica with the least expected loss, or time, or nearly the least."""
     if len(options) > MOST_WEIGHED:
         options = random.choices(options, k=MOST_WEIGHED)
     if options[0].capacity_tokens:
@@ -99,7 +100,8 @@
         costs = [plain_time(o) + (0.0 if o.near else FAR_TIME) for o in options]
         most = min(costs) + NEAR_TIME
         alike = [n for n, cost in enumerate(costs) if cost <= most]
-    # Two drawn by each who hears the same share out far better than one, or than the least.
+    # Instances with the same reports spread requests far better by the better of two random
+    # draws than by one draw or by the least cost.
     drawn = random.choice(alike), random.choice(alike)
     return options[min(drawn, key=costs.__getitem__)]
 
@@ -122,7 +124,7 @@
 
 
 def _cost(option: Option, need_tokens: int, far_share: float) -> float:
-    """Return how much a request would be held up, and hold up others; least is best."""
+    """Return the cost of placing a request at a replica, including the delay of others."""
     if not option.capacity_tokens:
         far = 0.0 if option.near else FAR_HANDICAP
         return (option.running + far) / max(1, option.slots)
--- a/reachlink/scheduling/_drain.py
+++ b/reachlink/scheduling/_drain.py
@@ -1,23 +1,24 @@
-"""How fast room comes while requests wait for it; pure.
+"""Rate at which memory is granted while requests wait; free of I/O and clocks.
 
-Only time in which somebody waits counts: what begins while nobody does tells how many
-come, not how many could be served. What was seen fades while nobody waits, too: it tells of
-a crowd that is over.
+Only time in which requests wait counts: with an empty queue, the rate of starts is the rate of
+arrivals, not the rate that could be served. The measured rate also decays while the queue is
+empty, since it describes an overload that is over.
 """
 
 from dataclasses import dataclass
 
 HALF_LIFE_S = 4.0
-# One usual request more than was seen: a line that has just filled is not stuck yet.
+# Memory of one common request, added to the granted memory: a queue that has just formed is
+# not taken for stuck.
 PRIOR_TOKENS = 4_000.0
-# Time of waiting before which nothing is known, in seconds: replicas that have all just
-# gone come back, and a line that stands still for a second is not stuck.
+# Minimum time of waiting before a rate is known, in seconds: replicas that have all just
+# disappeared come back, and a queue without grants for a second is not stuck.
 KNOWN_AFTER_S = 2.0
 
 
 @dataclass(slots=True)
 class Drain:
-    """Memory granted per second in which somebody waits, fading.
+    """Exponentially decaying rate of memory granted while requests wait.
 
     Examples
     --------
@@ -38,21 +39,21 @@
     _noted_at: float = 0.0
 
     def on_waiting(self, now: float) -> None:
-        """Take that somebody waits, at a monotonic time in seconds."""
+        """Record that requests wait, at a monotonic time in seconds."""
         self._pass(now)
         self._waits = True
 
     def on_empty(self, now: float) -> None:
-        """Take that nobody waits any more."""
+        """Record that no request waits any more, at a monotonic time in seconds."""
         self._pass(now)
         self._waits = False
 
     def on_granted(self, tokens: int) -> None:
-        """Take that somebody who waited has got room, in tokens."""
+        """Record a grant to a waiting request, in tokens."""
         self._granted += tokens
 
     def tokens_per_s(self, now: float) -> float:
-        """Return how fast room comes, in tokens a second; 0 where that is not known."""
+        """Return the memory granted per second, in tokens; 0 if unknown."""
         passed_s = now - self._noted_at
         fade = 1.0 if self._waits else _fade(passed_s)
         waiting_s = self._waiting_s * fade + (passed_s if self._waits else 0.0)
--- a/reachlink/scheduling/_forecast.py
+++ b/reachlink/scheduling/_forecast.py
@@ -1,4 +1,4 @@
-"""What a request would see of its start at a replica, in its caller's terms; pure."""
+"""Expected times and pauses of a request at a replica; free of I/O and clocks."""
 
 from dataclasses import dataclass
 
@@ -6,35 +6,36 @@
 from reachlink.scheduling._option import Option
 from reachlink.scheduling._pace import USUAL, Pace
 
-# How long a bad moment of a machine lasts, in seconds: a neighbour has the processor.
+# Duration of a slow phase, in which a noisy neighbor takes the processor, in seconds.
 BAD_MOMENT_S = 0.5
-# From how much above the steady pace a moment counts as a bad one.
+# Multiple of the steady pace from which `Pace.moment` indicates a slow phase.
 BAD_FROM = 1.3
-# The quickest and the slowest that a replica is taken for, whatever it tells.
+# Bounds of the steady pace that is used for decisions, whatever a replica reports.
 LEAST_STEADY = 0.5
 MOST_STEADY = 4.0
-# How far a wait may come below what the counts say, as a share of the slots: requests
-# end and come in no order, and news is old.
+# Smoothing of the wait near the point where all slots are taken, relative to the slots:
+# requests arrive and end at random, and reports are old.
 WAIT_SPREAD = 0.15
-# Age from which on the counts that a plain service told say nothing of the wait there, in
-# seconds: a few calls' time.
+# Age from which the request counts reported by a plain service are not used for its wait, in
+# seconds: the duration of a few calls.
 COUNTS_FADE_S = 0.4
-# Age from which on only own calls are counted, in seconds: these are known whatever it told.
+# Age of the reports from which only own calls are counted, in seconds; their number is known
+# without reports.
 COUNTS_OWN_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class EngineSpeed:
-    """What work takes at an engine of the usual pace.
+    """Durations of work at an engine of nominal pace.
 
     Attributes
     ----------
     step_s, step_slot_s : float
-        Time of one decoding step, and what each generation that runs adds, in seconds.
+        Time of one decoding step, and additional time per running generation, in seconds.
     read_token_s : float
-        Time to read one token of a prompt, in seconds.
+        Time to process one prompt token, in seconds.
     piece_tokens : int
-        Prompt tokens that are read between two steps.
+        Number of prompt tokens that are processed between two decoding steps.
     """
 
     step_s: float = 0.007
@@ -48,16 +49,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Forecast:
-    """What is expected of a start.
+    """Expected times of a request that starts at a replica.
 
     Attributes
     ----------
     first_event_s : float
         Time to the first event, in seconds.
     pause_s : float
-        Pause between two events while a prompt is read beside them, in seconds.
+        Pause between two events while a prompt is processed beside them, in seconds.
     worst_pause_s : float
-        The same in a bad moment of the replica, in seconds.
+        Pause between two such events in a slow phase of the replica, in seconds.
     """
 
     first_event_s: float
@@ -66,16 +67,16 @@
 
 
 def forecast(option: Option, need: Need, speed: EngineSpeed = ENGINE_SPEED) -> Forecast:
-    """Return what a generation would see that is sent to a model engine now.
+    """Return the expected times of a generation that is sent to a model engine now.
 
     Parameters
     ----------
     option : Option
-        The replica.
+        Replica.
     need : Need
-        What the generation needs.
+        Resources and deadlines of the request.
     speed : EngineSpeed
-        What work takes at an engine of the usual pace.
+        Durations of work at an engine of nominal pace.
 
     Examples
     --------
@@ -95,12 +96,12 @@
 
 
 def bounded(steady: float) -> float:
-    """Return a steady pace that is believed in: one that is told wrongly draws no more by it.
+    """Return a steady pace within bounds, so that a false report attracts few requests.
 
     Parameters
     ----------
     steady : float
-        As it is told.
+        Estimated steady pace.
     """
     return min(MOST_STEADY, max(LEAST_STEADY, steady))
 
@@ -111,29 +112,29 @@
     Parameters
     ----------
     option : Option
-        The replica.
+        Replica.
     step_s : float
         Time of a decoding step, in seconds.
 
     Returns
     -------
     float
-        Time at the usual pace, in seconds.
+        Time at the nominal pace, in seconds.
     """
-    # Those that run end evenly over twice what is left of them in the mean.
+    # Running generations end uniformly over twice their mean remaining time.
     left_s = 2.0 * option.remaining_tokens / option.running * step_s
     return left_s * (option.running + 1 - option.slots) / option.slots
 
 
 def bad_moment_chance(pace: Pace, window_s: float) -> float:
-    """Return the chance that a replica is in a bad moment at some time in a window.
+    """Return the probability that a replica is in a slow phase at some time in an interval.
 
     Parameters
     ----------
     pace : Pace
-        What is believed of it.
+        Estimated pace of the replica.
     window_s : float
-        How long the window is that begins now, in seconds.
+        Length of the interval, which begins now, in seconds.
 
     Examples
     --------
@@ -142,7 +143,7 @@
     (0.18, 0.0)
     """
     share = min(pace.bad_share, 0.9)
-    # What was seen of this moment says less the older it is.
+    # The older the newest observation, the less it tells about the present phase.
     fresh = max(0.0, 1.0 - pace.age_s / BAD_MOMENT_S)
     now = fresh * (pace.moment >= BAD_FROM) + (1.0 - fresh) * share
     begins = window_s * share / ((1.0 - share) * BAD_MOMENT_S)
@@ -150,12 +151,12 @@
 
 
 def plain_time(option: Option) -> float:
-    """Return the time that a call of a plain service takes, as a multiple of its usual work.
+    """Return the expected time of a plain call, as a multiple of its nominal duration.
 
     Parameters
     ----------
     option : Option
-        The replica.
+        Replica.
 
     Examples
     --------
@@ -168,12 +169,12 @@
     known = 1.0 if pace.age_s > COUNTS_OWN_S else max(0.0, 1.0 - pace.age_s / COUNTS_FADE_S)
     wait = known * _place_wait(option.running, slots)
     if known < 1.0 and option.own_running:
-        # One that answers nothing any more must not look idle.
+        # A replica that has stopped answering must not appear idle.
         wait = max(wait, _place_wait(option.own_running, slots))
     return (1.0 + wait) * bounded(pace.steady) * pace.moment
 
 
 def _place_wait(running: int, slots: int) -> float:
-    """Return the wait for a place beside some calls, as a multiple of a call's usual work."""
+    """Return the wait for a slot, as a multiple of a call's nominal duration."""
     excess = (running + 1) / slots - 1.0
     return float(0.5 * (excess + (excess * excess + WAIT_SPREAD) ** 0.5))
--- a/reachlink/scheduling/_line.py
+++ b/reachlink/scheduling/_line.py
@@ -1,27 +1,28 @@
-"""The order in which requests of one service wait for room; pure.
+"""Queue of the requests of one service that wait for capacity; free of I/O and clocks.
 
-Requests that find no room stand in one line a service and zone. Its order:
+Requests that find no capacity wait in one queue per service and zone. Its order:
 
-1. *Who can still be in time, before who can only be late.* A place that goes to a late one
-   while another becomes late makes two late ones. Late ones get what is left over.
-2. *The more urgent, by priority.*
-3. *The workspace that was granted least lately*, so that a few large ones do not starve
-   the small; what lies within one usual request counts as equal.
-4. *Who waits longest*, tries that were refused included.
+1. *Requests that can still be in time, before those that can only be late.* Serving a late
+   request while another one becomes late makes two late requests. Late requests get the
+   capacity that is left over.
+2. *Priority*, the more urgent first.
+3. *The workspace with the smallest recent grants*, so that a few large workspaces do not
+   starve the small ones; differences below the size of about one request are ignored.
+4. *The longest wait*, including refused attempts.
 
-The less urgent get a part of what is granted, `YIELDED_SHARE`, whatever the more urgent
-ask for. A share and not ageing: with ageing a backlog of old ones that are less urgent
-would go before all others at one time.
+Requests of lower priority get the share `YIELDED_SHARE` of the granted memory, whatever the
+demand of more urgent ones. It is a share and not aging: with aging, a backlog of old requests
+of low priority would go ahead of all others at once.
 
-A request that does not fit is passed by smaller ones for `PASSED_S`. Then it holds room
-back, so that the largest do not starve for fitting less often, for `HELD_BACK_S` at the
-most: what it may go to can be gone for good.
+Smaller requests may overtake a request that does not fit for `PASSED_S`. After that, capacity
+is reserved for it, so that the largest requests do not starve because they fit less often; for
+`HELD_BACK_S` at most, since the capacity that it could use may never become free again.
 
-When there will be room is forecast by what requests of the same urgency have got lately,
-as the more urgent that come later go first. One that would begin too late is forecast by
-what late ones have got: these get what is left over.
+The expected wait is computed from the memory granted recently to requests of the same class,
+since more urgent requests that arrive later go first. A request that would start too late is
+estimated by what late requests were granted, because these get the capacity that is left over.
 
-It answers crowds: with room for all there is no line.
+The queue handles overload: while there is capacity for all requests, it is empty.
 """
 
 from collections.abc import Callable
@@ -36,18 +37,20 @@
 from reachlink.scheduling._refusal import expected_wait_s
 from reachlink.scheduling._shares import WorkspaceShares
 
-# Requests that wait at the most, some 400 B each.
+# Maximum number of waiting requests, some 400 B each.
 MAX_WAITING = 512
-# Part of what is granted that goes to less urgent ones while these wait.
+# Share of the granted memory that goes to less urgent requests while these wait.
 YIELDED_SHARE = 0.125
-# How long a request may be passed by smaller ones, and hold room back then, in seconds.
+# Time in which smaller requests may overtake a request, and the time after that in which
+# capacity is reserved for it, in seconds.
 PASSED_S = 0.4
 HELD_BACK_S = 1.0
-# Urgencies for which it is noted what they get, some 200 B each.
+# Maximum number of classes whose drain rate is measured, some 200 B each.
 MAX_CLASSES = 64
-# One is taken for late by the forecast where its wait is so many times what it has.
+# A request is expected to become late if its expected wait exceeds its remaining time by this
+# factor.
 SURELY = 1.5
-# How old places in the line may be that waiting ones are told, in seconds.
+# Maximum age of the cached positions in the queue, in seconds.
 PLACES_KEPT_S = 0.1
 
 _Class = tuple[bool, int]
@@ -55,22 +58,22 @@
 
 @dataclass(slots=True, eq=False)
 class Waiting:
-    """One request in line.
+    """A request in the queue.
 
     Attributes
     ----------
     request_id : str
-        The request.
+        Identifier of the request.
     instance : str
-        Who asks for it.
+        Instance that queries for it.
     need : Need
-        What it needed when it joined, and by when.
+        Resources and deadlines of the request, as of `joined_at`.
     joined_at : float
-        When it joined, in monotonic seconds.
+        Monotonic time at which it joined the queue, in seconds.
     lease_until : float
-        Until when it stands in line without a word of its instance, in monotonic seconds.
+        Monotonic time at which it is removed unless its instance queries again, in seconds.
     passed_at : float, optional
-        When it was passed first by a smaller one, in monotonic seconds.
+        Monotonic time at which a smaller request first overtook it, in seconds.
     """
 
     request_id: str
@@ -89,21 +92,21 @@
 
     @property
     def began_at(self) -> float:
-        """When its caller began to wait, in monotonic seconds."""
+        """Monotonic time at which the caller's wait began, in seconds."""
         return self.joined_at - self.need.waited_s
 
     @property
     def give_up_at(self) -> float:
-        """Until when a start is of use to its caller, in monotonic seconds."""
+        """Latest monotonic time at which a start is of use to the caller, in seconds."""
         return self._give_up_at
 
     @property
     def in_time_until(self) -> float:
-        """Until when a start is in time, in monotonic seconds."""
+        """Latest monotonic time at which a start is in time, in seconds."""
         return self._in_time_until
 
     def need_at(self, now: float) -> Need:
-        """Return what it needs, and by when, as of a monotonic time in seconds."""
+        """Return its resources and deadlines as of a monotonic time in seconds."""
         need, passed_s = self.need, now - self.joined_at
         return structs.replace(
             need,
@@ -113,24 +116,24 @@
         )
 
     def is_late(self, now: float) -> bool:
-        """Return whether it can only be late."""
+        """Return whether it can only be late, at a monotonic time in seconds."""
         return now > self._in_time_until
 
     def holds_back(self, now: float) -> bool:
-        """Return whether no smaller one may pass it now."""
+        """Return whether capacity is reserved for it, so that no smaller one may overtake it."""
         if self.passed_at is None:
             return False
         passed_s = now - self.passed_at
         return PASSED_S <= passed_s < PASSED_S + HELD_BACK_S
 
     def note_passed(self, now: float) -> None:
-        """Note that another one has got room before it that does not fit."""
+        """Record that a smaller request was granted capacity ahead of it."""
         if self.passed_at is None or now - self.passed_at >= PASSED_S + HELD_BACK_S:
             self.passed_at = now
 
 
 class Line:
-    """The line of one service and zone.
+    """Queue of one service, in one zone or over all zones.
 
     Examples
     --------
@@ -146,13 +149,13 @@
         self._waiting: dict[str, Waiting] = {}
         self._shares = WorkspaceShares()
         self._drain = Drain()
-        # The same for requests that can be in time, or can't, by their priority.
+        # Drain rates by class: whether a request can only be late, and its priority.
         self._drains: dict[_Class, Drain] = {}
-        # What the less urgent have to get yet, in tokens.
+        # Memory still to be granted to less urgent requests, in tokens.
         self._owed_tokens = 0.0
         self._places: dict[str, tuple[int, int]] = {}
         self._class_tokens: dict[_Class, int] = {}
-        # What workspaces that wait ask for, and what each may have, in tokens.
+        # Demand of each workspace in the queue, and the fair share of each, in tokens.
         self._asked: dict[str, float] = {}
         self._share = float("inf")
         self._placed_at = float("-inf")
@@ -161,32 +164,32 @@
         return len(self._waiting)
 
     def find(self, request_id: str) -> Waiting | None:
-        """Return a request in line, or None."""
+        """Return a request in the queue, or None."""
         return self._waiting.get(request_id)
 
     def oldest_s(self, now: float) -> float:
-        """Return how long the oldest request has stood in this line, in seconds."""
+        """Return how long the oldest request has been in this queue, in seconds."""
         return max((now - w.joined_at for w in self._waiting.values()), default=0.0)
 
     def drain_tokens_per_s(self, now: float) -> float:
-        """Return how fast room comes, in tokens a second; 0 where that is not known."""
+        """Return the memory granted per second, in tokens; 0 if unknown."""
         return self._drain.tokens_per_s(now)
 
     def join(
         self, request_id: str, instance: str, need: Need, now: float, lease_s: float
     ) -> Waiting:
-        """Have a request stand in line; one that does so already keeps its place.
+        """Add a request, or renew its lease; a request in the queue keeps its position.
 
         Parameters
         ----------
         request_id, instance : str
-            The request, and who asks for it.
+            Identifier of the request, and the instance that queries for it.
         need : Need
-            What it needs, and by when, as of now.
+            Resources and deadlines of the request, as of now.
         now : float
             Monotonic time in seconds.
         lease_s : float
-            How long it stands in line without another word, in seconds.
+            Time after which it is removed unless its instance queries again, in seconds.
         """
         waiting = self._waiting.get(request_id)
         if waiting is None:
@@ -198,7 +201,7 @@
         return waiting
 
     def leave(self, request_id: str, now: float) -> Waiting | None:
-        """Take a request out, and return it if it stood in line."""
+        """Remove a request, and return it if it was in the queue."""
         waiting = self._waiting.pop(request_id, None)
         self._places.pop(request_id, None)
         if not self._waiting:
@@ -207,7 +210,7 @@
         return waiting
 
     def expire(self, now: float) -> list[Waiting]:
-        """Take out and return who is not asked for any more, or could not be served now."""
+        """Remove and return requests whose lease has ended or that could not end in time."""
         over = [w for w in self._waiting.values() if now >= min(w.lease_until, w.give_up_at)]
         for waiting in over:
             self.leave(waiting.request_id, now)
@@ -217,15 +220,16 @@
         return over
 
     def stand_still(self, now: float) -> None:
-        """Take that there is no replica now: how long that lasts says nothing of later."""
+        """Pause the drain rates while there is no replica: that time would distort them."""
         for drain in (self._drain, *self._drains.values()):
             drain.on_empty(now)
 
     def shed(self, now: float) -> Waiting | None:
-        """Take out and return who goes where too many wait; None where these are not too many.
+        """Remove and return one request if the queue is too long, or return None.
 
-        It is one of those that can only be late, else of the least urgent: of the workspace
-        that asks for most, so that a large one does not fill the line, the youngest.
+        Requests that can only be late are removed first, then the least urgent, then those of
+        the workspace with the largest demand, so that a large workspace does not fill the
+        queue, and then the youngest.
         """
         if len(self._waiting) <= self._max_waiting:
             return None
@@ -238,7 +242,7 @@
         return self.leave(max(self._waiting.values(), key=key).request_id, now)
 
     def asked_tokens(self, now: float) -> dict[str, float]:
-        """Return what each workspace that waits was granted lately and waits for, in tokens."""
+        """Return recent grants plus waiting requests of each waiting workspace, in tokens."""
         asked: dict[str, float] = {}
         for waiting in self._waiting.values():
             name = waiting.need.workspace
@@ -248,7 +252,7 @@
         return asked
 
     def order(self, now: float) -> list[Waiting]:
-        """Return who goes first, at a monotonic time in seconds."""
+        """Return the requests in their order at a monotonic time in seconds."""
         found = sorted(self._waiting.values(), key=self._key(now))
         if not found:
             return found
@@ -260,11 +264,11 @@
         return found
 
     def head(self, now: float) -> Waiting | None:
-        """Return who goes first, or None where nobody waits."""
+        """Return the first request, or None if the queue is empty."""
         return next(iter(self.order(now)), None)
 
     def granted(self, request_id: str, now: float) -> Waiting | None:
-        """Take out a request that begins, and return it if it stood in line."""
+        """Remove a request that starts, and return it if it was in the queue."""
         waiting = self._waiting.get(request_id)
         if waiting is None:
             return None
@@ -278,11 +282,11 @@
         return self.leave(request_id, now)
 
     def note_begun(self, need: Need, now: float) -> None:
-        """Note a request that has begun without a wait: its workspace has had that."""
+        """Record a request that started without waiting as a grant to its workspace."""
         self._shares.add(need.workspace, need.tokens, now)
 
     def state_before(self, waiting: Waiting, now: float) -> LineState:
-        """Return what stands between a request in line and room."""
+        """Return the state of the queue ahead of a request."""
         if now - self._placed_at > PLACES_KEPT_S:
             self._note_places(now)
         place = self._places.get(waiting.request_id)
@@ -299,13 +303,14 @@
             return state
         late = self._state_before_late(waiting, state, now)
         late_in_s = expected_wait_s(waiting.need, late)
-        # Late ones wait for no less; what they get may not be known yet.
+        # Late requests never wait less; their drain rate may be unknown yet.
         return late if late.drain_tokens_per_s and late_in_s > in_s else state
 
     def _state_before_late(self, waiting: Waiting, state: LineState, now: float) -> LineState:
-        """Return what stands before a request that will have become late by its turn.
+        """Return the state ahead of a request that becomes late before it starts.
 
-        From then on it waits behind those that are late, and those before it that will be.
+        Once it is late, it waits behind the requests that are late already and behind those
+        ahead of it that become late, too.
         """
         late = (True, waiting.need.priority)
         left_s = waiting.in_time_until - now
@@ -319,7 +324,7 @@
         return drain.tokens_per_s(now) if drain is not None else 0.0
 
     def _note_classes(self, now: float) -> None:
-        """Note of which urgency requests wait, for what these get."""
+        """Update the drain rate of each class by whether requests of it wait."""
         present = {_class_of(waiting, now) for waiting in self._waiting.values()}
         for its in present - self._drains.keys():
             if len(self._drains) >= MAX_CLASSES:
@@ -351,7 +356,7 @@
         return len(before), sum(w.need.tokens for w in before if _class_of(w, now) == its)
 
     def _note_yielded(self, granted: Waiting) -> None:
-        """Note how much the less urgent have to get yet, now that one is granted."""
+        """Update the memory still to be granted to less urgent requests after a grant."""
         others = [w.need for w in self._waiting.values() if w is not granted]
         if any(need.priority > granted.need.priority for need in others):
             most = max(need.tokens for need in others) / YIELDED_SHARE
@@ -375,5 +380,5 @@
 
 
 def _class_of(waiting: Waiting, now: float) -> _Class:
-    """Return whether a request can only be late, and its priority."""
+    """Return the class of a request: whether it can only be late, and its priority."""
     return waiting.is_late(now), waiting.need.priority
--- a/reachlink/scheduling/_line_state.py
+++ b/reachlink/scheduling/_line_state.py
@@ -1,24 +1,24 @@
-"""What stands between a request and room."""
+"""State of a queue ahead of one request."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class LineState:
-    """What stands between a request and room, as the owner of the line knows it.
+    """State of a queue ahead of one request, as its owner knows it.
 
     Attributes
     ----------
     ahead : int
-        Requests that go first.
+        Number of requests ahead.
     ahead_tokens : int
-        Memory that they need, in tokens.
+        Memory that the requests ahead need, in tokens.
     drain_tokens_per_s : float
-        Memory that becomes free, in tokens a second; 0 where that is not known.
+        Memory granted to waiting requests per second, in tokens; 0 if unknown.
     told_tokens : int
-        Memory for those who were told to come back and for whom a place is kept, in tokens.
+        Memory reserved for refused callers that were given a retry time, in tokens.
     over_share : bool
-        Whether the request's workspace has its share already of what there is.
+        Whether the request's workspace already has its share of the capacity.
     """
 
     ahead: int = 0
--- a/reachlink/scheduling/_looks.py
+++ b/reachlink/scheduling/_looks.py
@@ -1,24 +1,24 @@
-"""What was observed of one replica's pace, a quarter of a second at a time; pure."""
+"""Observations of a replica's pace, grouped into short windows; free of I/O and clocks."""
 
 from array import array
 from collections.abc import Callable
 
-# Observations within this time are one look, in seconds: half as long as bad moments
-# last, so that many answers of one bad moment count as two looks.
+# Length of a window, in seconds: half as long as a slow phase, so that many answers in one
+# slow phase count as two windows.
 LOOK_S = 0.25
-# Looks that are kept: six seconds of steady traffic.
+# Maximum number of windows: six seconds of steady traffic.
 KEPT = 24
 
 
 class Looks:
-    """The last looks at one replica's pace, from one source.
+    """Last windows of observations of one replica's pace, from one source.
 
     Parameters
     ----------
     lasting : float
-        Which of the looks tells what lasts, as a share of them in order.
+        Quantile of the windows, from 0 to 1, that is the steady pace.
     on_closed : callable
-        Called with the lowest and highest pace of each look that is over.
+        Called with the lowest and highest pace of each window when it ends.
 
     Examples
     --------
@@ -46,19 +46,19 @@
         self._lows = array("d")
         self._high = 0.0
         self._opened_at = float("-inf")
-        # The newest observation, and when it was made, in monotonic seconds.
+        # Newest observation, and its monotonic time in seconds.
         self.newest = 1.0
         self.newest_at = float("-inf")
-        # What lasts; 1 before the first observation.
+        # Steady pace; 1 before the first observation.
         self.steady = 1.0
 
     @property
     def count(self) -> int:
-        """How many looks are kept."""
+        """Number of windows."""
         return len(self._lows)
 
     def add(self, pace: float, now: float) -> None:
-        """Note an observation, as a multiple of the usual, at a monotonic time in seconds."""
+        """Record a pace, as a multiple of the nominal one, at a monotonic time in seconds."""
         self.newest, self.newest_at = pace, now
         if now - self._opened_at >= LOOK_S:
             self._open(pace, now)
--- a/reachlink/scheduling/_loss.py
+++ b/reachlink/scheduling/_loss.py
@@ -1,9 +1,9 @@
-"""What a start is expected to cost callers, in tokens of prompt worth of work; pure.
+"""Expected loss of a start, in prompt tokens of equal work; free of I/O and clocks.
 
-Load that it answers: long answers, whose callers see each pause, and short ones with
-prompts as long, at replicas of several speeds that are slow for moments. A prompt that is
-read holds up all that runs beside it. The loss of a start is the work of the answers that
-are expected to be late by it: its own, and those that run there.
+The loss model is made for a mix of long answers, whose callers see each pause, and short
+answers with prompts as long, at replicas of different speeds that have short slow phases.
+Processing a prompt delays everything that runs beside it. The loss of a start is the work of
+all answers that are expected to be late because of it: its own, and those that run there.
 """
 
 from reachlink.scheduling._burden import UNREAD_TOKENS
@@ -22,42 +22,45 @@
 from reachlink.scheduling._pace import USUAL, Pace
 from reachlink.scheduling._terms import Terms
 
-# Work to make one token of output, in tokens of prompt that are read in the same time.
+# Work of one output token, in prompt tokens that are processed in the same time.
 OUTPUT_WEIGHT = 10
-# What runs is halfway through in the mean: twice its remaining output is lost with it.
+# Loss per remaining output token of a running answer: on average, running answers are halfway
+# through, so an answer that is lost is twice its remaining output.
 LOST_PER_REMAINING = 2 * OUTPUT_WEIGHT
-# Output from which on an answer, or what is left of all at a replica, counts as long.
+# Output length above which an answer, or the remaining output of all answers at a replica,
+# counts as long, in tokens.
 LONG_TOKENS = 100
-# What the first long answer costs where a prompt beside it makes pauses too long: prompts
-# of short answers are read there no more. A share of its work.
+# Cost of the first long answer at a replica where a prompt beside it causes too long pauses:
+# prompts of short answers are not placed there any more. A share of its work.
 QUIET_WEIGHT = 0.6
-# Prompts a second that are read beside a generation during its life.
+# Prompts per second that are processed beside a running generation.
 BESIDE_PER_S = 0.3
-# Shares of its bound from which on a time is likely too long, and surely.
+# Shares of its limit above which a time may be too long, and from which it surely is.
 PAUSE_MARGIN = (0.85, 1.0)
 FIRST_EVENT_MARGIN = (0.6, 1.0)
-# Losses that differ by this share of the request's work are alike: not all who hear the
-# same go to one replica.
+# Losses within this share of the request's work count as equal, so that instances with the
+# same reports do not all choose one replica.
 NEAR_TIE = 0.15
-# What room costs where long answers hold, as a share of the memory that is taken there.
+# Cost of memory at replicas where pauses of long answers stay in time, as a share of the
+# memory that is taken there.
 ROOM_WEIGHT = 0.2
-# What a fully loaded replica costs a request more than an idle one, and what the whole
-# memory of `Terms.far` costs, as shares of its own work.
+# Additional cost of a fully loaded replica compared to an idle one, and the cost of another
+# zone for a `Terms.far` of the whole memory, as shares of the request's own work.
 CROWD_WEIGHT = 0.1
 FAR_WEIGHT = 0.2
 
 
 class Losses:
-    """The loss expected of one request's start, at each replica that it may go to.
+    """Expected loss of the start of one request at each candidate replica.
 
     Parameters
     ----------
     need : Need
-        What it needs.
+        Resources and deadlines of the request.
     terms : Terms
-        On what terms memory is given.
+        Rules by which memory is given.
     speed : EngineSpeed
-        What work takes at an engine of the usual pace.
+        Durations of work at an engine of nominal pace.
     """
 
     def __init__(self, need: Need, terms: Terms, speed: EngineSpeed = ENGINE_SPEED) -> None:
@@ -81,17 +84,17 @@
 
     @property
     def near_tie(self) -> float:
-        """Difference of losses that is none, in tokens of prompt."""
+        """Difference up to which losses count as equal, in prompt tokens."""
         return NEAR_TIE * self._work
 
     def at(self, option: Option) -> float:
-        """Return the loss of a start at a model engine, in tokens of prompt."""
+        """Return the expected loss of a start at a model engine, in prompt tokens."""
         pace = option.pace or USUAL
         steady = pace.steady
         if not LEAST_STEADY <= steady <= MOST_STEADY:
             steady = bounded(steady)
         worst = pace.worst
-        # Written out, as a decision asks for each of some dozen replicas.
+        # Inlined for speed: each decision evaluates it for some dozen replicas.
         step_s = self._step_s + self._slot_s * option.running
         token_s = self._read_s + step_s * self._by_piece
         first_s = (option.unread_tokens + self._prompt_tokens) * token_s + step_s
@@ -117,7 +120,7 @@
         if first_s + BAD_MOMENT_S <= self._safe_first_s:
             return 0.0
         late = ramp(first_s / self._first_by_s, FIRST_EVENT_MARGIN)
-        # A bad moment that comes holds up the work by what it takes of that time.
+        # A slow phase that begins meanwhile delays the work only while the phase lasts.
         longer_s = min(first_s * (pace.worst - 1.0), BAD_MOMENT_S)
         later = ramp((first_s + longer_s) / self._first_by_s, FIRST_EVENT_MARGIN)
         return late + bad_moment_chance(pace, first_s) * (later - late)
@@ -125,7 +128,7 @@
     def _pausing(
         self, option: Option, pause_s: float, reading_s: float, run_s: float, late: float
     ) -> float:
-        """Return what is lost by first events and by pauses that may be too long there."""
+        """Return the expected loss by late first events and by too long pauses."""
         pace = option.pace or USUAL
         bound_s = self._pause_s
         always = ramp(pause_s / bound_s, PAUSE_MARGIN) if pause_s > self._safe_pause_s else 0.0
@@ -136,7 +139,7 @@
         remaining = option.remaining_tokens
         loss = lost * self._work - worst * self._room
         if not reading_s:
-            # It joins what runs there, maybe beside a prompt that is being read.
+            # A migrated generation has no prompt to process, but may run beside one.
             return loss + met * self._work if option.unread_tokens else loss
         loss += met * remaining * LOST_PER_REMAINING
         if remaining < LONG_TOKENS < self._output_tokens:
@@ -145,7 +148,7 @@
 
 
 def ramp(value: float, margin: tuple[float, float]) -> float:
-    """Return 0 below a margin, 1 above it, and what lies between in proportion."""
+    """Return 0 below a margin, 1 above it, and a linear interpolation inside it."""
     low, high = margin
     if value <= low:
         return 0.0
--- a/reachlink/scheduling/_need.py
+++ b/reachlink/scheduling/_need.py
@@ -1,35 +1,35 @@
-"""What a request needs of a replica, and by when."""
+"""Resources and deadlines of a request."""
 
 import msgspec
 
 
 class Need(msgspec.Struct, array_like=True, frozen=True):
-    """What a request needs, and by when its caller is served.
+    """Resources that a request needs and the deadlines of its caller.
 
-    It goes over the wire as an array: the order of the fields is the format, and new
-    fields go to the end with a default.
+    It is sent as an array: the order of the fields is the wire format, and new fields are
+    added at the end with a default.
 
     Attributes
     ----------
     tokens : int
-        Memory that a generation will likely take at its end, in tokens; 0 for a plain call.
+        Memory that the generation likely takes at its end, in tokens; 0 for a plain call.
     prompt_tokens : int
-        Prompt that has to be read first, in tokens.
+        Length of the prompt, which is processed first, in tokens.
     first_by_s : float
-        Time until its first event, or its answer, is late, in seconds; below 0 where it
-        can only be late.
+        Time until the first event, or the answer of a plain call, is late, in seconds;
+        negative if the request is late already.
     give_up_in_s : float
-        Time until its caller leaves, in seconds.
+        Time until the caller disconnects, in seconds.
     longest_pause_s : float
-        Longest pause between events that is in time, in seconds; 0 where any is.
+        Longest pause between events that is in time, in seconds; 0 if pauses are not limited.
     priority : int
-        0 is the most urgent.
+        Priority; 0 is the most urgent.
     workspace : str
-        Who it is for; empty for nobody in particular.
+        Workspace of the request; empty if none.
     waited_s : float
-        How long its caller has waited, tries that were refused included, in seconds.
+        Time that the caller has waited, including refused attempts, in seconds.
     returner : bool
-        Whether its caller has come back when it was told to.
+        Whether the caller retries at the time given in an earlier refusal.
     """
 
     tokens: int = 0
@@ -44,5 +44,5 @@
 
     @property
     def output_tokens(self) -> int:
-        """Output that is expected, in tokens."""
+        """Expected length of the output, in tokens."""
         return max(0, self.tokens - self.prompt_tokens)
--- a/reachlink/scheduling/_option.py
+++ b/reachlink/scheduling/_option.py
@@ -1,50 +1,53 @@
-"""A replica, as a choice sees it."""
+"""State of a replica that a placement decision uses."""
 
 from dataclasses import dataclass
 
 from reachlink.scheduling._pace import Pace
 
 
-# Not frozen, though nobody changes one: a decision makes one a replica, in a quarter of the time.
+# Never modified, but not frozen: each decision creates one per replica, and creating an
+# unfrozen instance takes a quarter of the time.
 @dataclass(slots=True)
 class Option:
-    """A replica that may get a request.
+    """State of a replica that is a candidate for a request.
 
     Attributes
     ----------
     name : str
-        The replica.
+        Name of the replica.
     near : bool
         Whether it is in this instance's zone.
     running : int
-        Requests likely there.
+        Estimated number of requests at the replica.
     slots : int
-        Requests that it works on at once; 0 where unknown.
+        Number of requests that it processes at once; 0 if unknown.
     tokens : int
-        Memory that its requests will need at their end, in tokens.
+        Memory that its requests need at their end, in tokens.
     used_tokens : int
-        Memory that they take now, in tokens.
+        Memory that its requests use now, in tokens.
     copy_tokens : int
-        Memory of copies that give way, in tokens.
+        Memory of copies, which are dropped on demand, in tokens.
     arriving : int
-        Copies on their way to it.
+        Number of copies in transfer to it.
     unread_tokens : int
-        Prompts that it still has to read, in tokens.
+        Length of the prompts that it still has to process, in tokens.
     capacity_tokens : int
-        Memory that it has, in tokens; 0 for a plain service.
+        Memory of the replica, in tokens; 0 for a plain service.
     trust : float
-        0 to 1; 0 for none.
+        Probability with which the replica is considered for a request, from 0 to 1; below 1
+        while it recovers from failures.
     reported_tokens : int
-        Memory in use by the replica's own report, in tokens; only for logs.
+        Memory in use according to the replica's own report, in tokens; for logs only.
     joins_in_s : float, optional
-        Time until a generation is expected to go on there from a home that leaves,
-        in seconds.
+        Time until a generation from a leaving replica is expected to continue here, in
+        seconds.
     pace : Pace, optional
-        How fast it works; None where that is not asked for.
+        Speed of the replica; None if it is not used.
     tokens_per_event : int
-        Tokens that one event of its streams holds.
+        Number of tokens in one event of its streams.
     own_running : int
-        Requests of who decides among those that run there: known, whatever it told.
+        Number of the deciding instance's own requests among `running`; exact, since it does
+        not depend on reports.
     """
 
     name: str
@@ -66,5 +69,5 @@
 
     @property
     def remaining_tokens(self) -> int:
-        """Output that is still expected of what runs there, in tokens."""
+        """Output still expected from the requests at the replica, in tokens."""
         return max(0, self.tokens - self.used_tokens)
--- a/reachlink/scheduling/_pace.py
+++ b/reachlink/scheduling/_pace.py
@@ -1,27 +1,28 @@
-"""How fast a replica works, as a belief."""
+"""Estimated pace of a replica."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class Pace:
-    """How long work takes at a replica, as a multiple of what it takes at a usual one.
+    """Duration of work at a replica, as a multiple of its duration at a nominal replica.
 
-    A machine of another kind is slow, or quick, for as long as it lives; a neighbour on
-    the same machine takes the processor for less than a second. These are two figures.
+    A machine of another kind is slower or faster for its whole lifetime, while a noisy neighbor
+    on the same machine takes the processor for less than a second. These are estimated
+    separately, as the steady pace and as slow phases.
 
     Attributes
     ----------
     steady : float
-        What lasts: 0.5 for a replica that takes half of the usual time.
+        Steady pace; 0.5 for a replica that takes half of the nominal time.
     moment : float
-        What the last answers showed, on top of `steady`; fades to 1 as it ages.
+        Factor on `steady` shown by the newest observation; decays to 1 with its age.
     worst : float
-        What bad moments reach, on top of `steady`.
+        Factor on `steady` that slow phases reach on average.
     bad_share : float
-        Share of the time, from 0 to 1, that bad moments take.
+        Share of the time, from 0 to 1, that slow phases take.
     age_s : float
-        Age of the newest observation, in seconds; infinite where there was none.
+        Age of the newest observation, in seconds; infinite if there is none.
     """
 
     steady: float = 1.0
@@ -32,4 +33,4 @@
 
 
 USUAL = Pace()
-"""What is believed of a replica that nothing is known of."""
+"""Pace of a replica without any observation."""
--- a/reachlink/scheduling/_pace_book.py
+++ b/reachlink/scheduling/_pace_book.py
@@ -1,4 +1,4 @@
-"""What is believed of the pace of all replicas; pure."""
+"""Estimates of the pace of all replicas; free of I/O and clocks."""
 
 import math
 from collections.abc import Callable, Container, Iterable
@@ -17,36 +17,36 @@
     PaceBelief,
 )
 
-# Replicas that are kept: well above the 710 of the largest fleet, at some 2 KB each.
+# Maximum number of replicas, at some 2 KB each: well above the 710 of the largest fleet.
 MAX_REPLICAS = 2000
-# Time between two looks at what the replicas of a service show together, in seconds.
+# Interval between updates of the estimate for all replicas of a service, in seconds.
 KIN_S = 1.0
-# How long a pace that was worked out is given again, in seconds: moments last half a second,
-# and a decision asks for each of some hundred replicas.
+# Lifetime of a cached pace, in seconds: slow phases last half a second, and a decision reads
+# the paces of some hundred replicas.
 GIVEN_AGAIN_S = 0.02
-# Factor between two kinds of machines that are told apart at the least.
+# Minimum factor between the paces of two kinds of machines that are distinguished.
 KIND_STEP = 1.03
-# Looks of all replicas of a service together that weigh as much as what is believed before
-# any: half a minute of one instance's traffic.
+# Weight of the prior, in windows of all replicas of a service: half a minute of one
+# instance's traffic.
 KIN_LOOKS = 100.0
-# By which factor what lasts, or what bad moments reach, must change to count as news.
+# Factors by which the steady pace, or the slow phases, must change to be published.
 NEWS_FACTOR = 1.15
 WORST_NEWS_FACTOR = 1.5
-# By how much the share of bad moments must change for that.
+# Difference by which the share of slow phases must change to be published.
 NEWS_SHARE = 0.15
-# Services of which something is kept; each with a replica that is kept has its place.
+# Maximum number of services; it suffices for each replica to be of another service.
 MAX_SERVICES = MAX_REPLICAS
-# Kinds of calls whose usual time is kept.
+# Maximum number of kinds of calls whose typical duration is tracked.
 MAX_CALLS = 500
-# Share of each further call in the usual time of its kind.
+# Weight of each new call in the moving average of its kind's duration.
 CALL_SHARE = 0.05
-# How far from that a call counts at the most, as a logarithm: one that took out of all measure
-# would make all others quick.
+# Maximum deviation from that average with which a call counts, as a logarithm: a single
+# extremely long call would make all others look fast.
 MOST_APART = math.log(MOST)
 
 
 class PaceSource(Enum):
-    """Where a belief comes from."""
+    """Source of an estimate: the replica's reports, measurements here, or another instance."""
 
     TOLD = "told"
     SEEN = "seen"
@@ -56,18 +56,18 @@
 
 @dataclass(slots=True, frozen=True)
 class PaceChange:
-    """A belief that has changed by enough to matter.
+    """Significant change of an estimate.
 
     Attributes
     ----------
     replica, service : str
-        The replica, and the service that it belongs to.
+        Name of the replica, and the service that it belongs to.
     pace : Pace
-        What is believed now.
+        Present estimate.
     before : float, optional
-        What was believed before to last; None where nothing was.
+        Steady pace published before; None if there was none.
     source : PaceSource
-        What changed it.
+        Source of the change.
     """
 
     replica: str
@@ -79,21 +79,21 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """One replica in one lifetime."""
+    """State of one replica in one lifetime."""
 
     service: str
     belief: PaceBelief
-    # What was news last, the number of that news, and what and whom it came from.
+    # Pace published last, the number of that change, its source, and the instance it came from.
     told: Pace = USUAL
     number: int = 0
     source: PaceSource = PaceSource.TOLD
     teller: str = ""
-    # What was worked out last, and until when it is given again, in monotonic seconds.
+    # Cached pace, and the monotonic time at which it expires, in seconds.
     given: Pace = USUAL
     given_until: float = float("-inf")
 
     def pace(self, now: float) -> Pace:
-        """Return what is believed, at most some milliseconds old."""
+        """Return the estimate, at most `GIVEN_AGAIN_S` old."""
         if now >= self.given_until:
             self.given, self.given_until = self.belief.pace(now), now + GIVEN_AGAIN_S
         return self.given
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _Service:
-    """What the replicas of one service show together."""
+    """Estimate for all replicas of one service."""
 
     kin: Kin = Kin()
     looked_at: float = float("-inf")
@@ -109,12 +109,12 @@
 
 
 class PaceBook:
-    """Beliefs of all replicas by name.
+    """Estimates of the pace of all replicas by name.
 
     Parameters
     ----------
     on : bool
-        Whether paces are asked for; else nothing is noted.
+        Whether paces are used; if not, nothing is recorded.
 
     Examples
     --------
@@ -130,51 +130,51 @@
         self._on = on
         self._entries: dict[str, _Entry] = {}
         self._services: dict[str, _Service] = {}
-        # Usual time of each kind of calls, in seconds, as a logarithm.
+        # Logarithm of the typical duration of each kind of calls, in seconds.
         self._calls: dict[tuple[str, str], float] = {}
         self._number = 0
         self._listeners: list[Callable[[PaceChange], None]] = []
 
     @property
     def is_on(self) -> bool:
-        """Whether paces are noted."""
+        """Whether paces are recorded."""
         return self._on
 
     @property
     def count(self) -> int:
-        """How many replicas something is believed of."""
+        """Number of replicas with an estimate."""
         return len(self._entries)
 
     def is_told(self, service: str) -> bool:
-        """Return whether a replica of a service has told a pace, here or to another instance."""
+        """Return whether a replica of a service has reported a pace, here or elsewhere."""
         found = self._services.get(service)
         return found is not None and found.told
 
     def listen(self, listener: Callable[[PaceChange], None]) -> None:
-        """Have something called with each belief that has changed by enough."""
+        """Register a listener, which is called with each significant change."""
         self._listeners.append(listener)
 
     def pace(self, replica: str, now: float) -> Pace:
-        """Return what is believed of a replica at a monotonic time in seconds."""
+        """Return the estimate of a replica's pace at a monotonic time in seconds."""
         entry = self._entries.get(replica)
         return USUAL if entry is None else entry.pace(now)
 
     def pace_in(self, service: str, replica: str, now: float) -> Pace | None:
-        """Return the same; None where the replicas of its service tell no pace."""
+        """Return the estimate, or None if the replicas of the service report no pace."""
         entry = self._entries.get(replica)
         if entry is not None:
             return entry.pace(now)
         return USUAL if self.is_told(service) else None
 
     def note_told(self, service: str, replica: str, pace: float, now: float) -> None:
-        """Note a pace that a replica told.
+        """Record a pace that a replica reported.
 
         Parameters
         ----------
         service, replica : str
-            The replica, and the service that it belongs to.
+            Service of the replica, and its name.
         pace : float
-            How long work takes there, as a multiple of the usual.
+            Duration of work there, as a multiple of the nominal one.
         now : float
             Monotonic time in seconds.
         """
@@ -188,18 +188,18 @@
     def note_seen(
         self, service: str, replica: str, ratio: float, now: float, rough: bool = False
     ) -> None:
-        """Note how long work was seen to take, as a multiple of what is expected of it.
+        """Record a measured duration of work, as a multiple of the expected one.
 
         Parameters
         ----------
         service, replica : str
-            Where it was done.
+            Service of the replica, and its name.
         ratio : float
-            How long it took, as a multiple of what is expected.
+            Measured duration divided by the expected one.
         now : float
             Monotonic time in seconds.
         rough : bool
-            Whether such work differs by itself by more than paces do.
+            Whether durations of such work vary by more than paces do.
         """
         if not self._on or not self.is_told(service) or not 0.0 < ratio < math.inf:
             return
@@ -208,14 +208,16 @@
         self._look(replica, entry, PaceSource.SEEN, now)
 
     def note_call(self, service: str, kind: str, replica: str, took_s: float, now: float) -> None:
-        """Note how long a call took, by what calls of its kind take.
+        """Record the duration of a call relative to other calls of its kind.
 
         Parameters
         ----------
-        service, replica : str
-            Who answered it.
+        service : str
+            Service of the replica.
         kind : str
-            Calls of one kind are alike.
+            Kind of the call; calls of one kind take similar times.
+        replica : str
+            Replica that answered it.
         took_s : float
             Time from its dispatch to the end of its answer, in seconds.
         now : float
@@ -232,7 +234,7 @@
         self.note_seen(service, replica, math.exp(took - usual), now, rough=True)
 
     def observed(self, replica: str, now: float) -> Pace:
-        """Return what is believed, with the newest moment as it was observed, for others."""
+        """Return the estimate without decay of `Pace.moment`, to be sent to other instances."""
         entry = self._entries.get(replica)
         return USUAL if entry is None else entry.belief.observed(now)
 
@@ -245,18 +247,18 @@
         teller: str,
         now: float,
     ) -> None:
-        """Note what another instance told of a replica in its present lifetime.
+        """Record another instance's estimate of a replica in its present lifetime.
 
         Parameters
         ----------
         service, replica : str
-            The replica, and the service that it belongs to.
+            Service of the replica, and its name.
         heard : HeardPace
-            What was told.
+            Estimate of the other instance.
         source : PaceSource
-            What the teller is to this instance.
+            Role of the other instance towards this one.
         teller : str
-            The teller.
+            Name of the other instance.
         now : float
             Monotonic time in seconds.
         """
@@ -268,36 +270,36 @@
             self._look(replica, entry, source, now, teller)
 
     def start_again(self, replica: str) -> None:
-        """Forget what a replica showed in its life before."""
+        """Discard the estimate of a replica that was restarted."""
         self._entries.pop(replica, None)
 
     def forget_gone(self, known: Container[str]) -> None:
-        """Drop what is believed of replicas that are there no more."""
+        """Drop the estimates of all replicas but the known ones."""
         for name in [n for n in self._entries if n not in known]:
             del self._entries[name]
 
     def changed_since(
         self, number: int, sources: Iterable[PaceSource], most: int, without: str = ""
     ) -> tuple[int, list[str]]:
-        """Return the replicas of which there is news, the oldest news first.
+        """Return the replicas whose estimates changed, the oldest change first.
 
         Parameters
         ----------
         number : int
-            Number of the last news that is known already; 0 for none.
+            Number of the last change that was returned before; 0 for none.
         sources : iterable of PaceSource
-            What the news must come from.
+            Sources of the changes that are returned.
         most : int
-            How many replicas are returned at the most.
+            Maximum number of replicas that are returned.
         without : str
-            Who told the news that are left out; empty for none.
+            Instance whose changes are left out; empty for none.
 
         Returns
         -------
         int
-            Number of the last news that is known with these.
+            Number of the last change that is covered, for the next call.
         list of str
-            The replicas.
+            Names of the replicas.
         """
         wanted = frozenset(sources)
         if number == self._number:
@@ -314,7 +316,7 @@
         return self._number, [name for _, name in told]
 
     def steadies(self) -> dict[str, list[float]]:
-        """Return what is believed to last at the replicas of each service that tells a pace."""
+        """Return the steady paces of the replicas of each service that reports paces."""
         found: dict[str, list[float]] = {}
         for entry in self._entries.values():
             found.setdefault(entry.service, []).append(entry.belief.steady)
@@ -329,7 +331,7 @@
         return found
 
     def _forget_services(self) -> None:
-        """Drop the services that have no replica any more, or else the oldest one."""
+        """Drop the services without replicas or, if there are none, the oldest one."""
         served = {entry.service for entry in self._entries.values()}
         oldest = next(iter(self._services))
         self._services = {name: s for name, s in self._services.items() if name in served}
@@ -348,7 +350,7 @@
         return found
 
     def _kin(self, service: str, now: float, new: bool = False) -> Kin:
-        """Return what the replicas of a service show together, looked at now and then."""
+        """Return the estimate for all replicas of a service, updated at intervals."""
         shown = self._service(service)
         if new or now - shown.looked_at >= KIN_S:
             beliefs = [e.belief for e in self._entries.values() if e.service == service]
@@ -358,7 +360,7 @@
     def _look(
         self, replica: str, entry: _Entry, source: PaceSource, now: float, teller: str = ""
     ) -> None:
-        """Note whether a belief has changed by enough."""
+        """Publish the estimate of a replica if it has changed significantly."""
         belief, told = entry.belief, entry.told
         entry.given_until = now
         new = not entry.number
@@ -383,12 +385,12 @@
 
 
 def apart(value: float, other: float, factor: float) -> bool:
-    """Return whether two paces are further apart than a factor."""
+    """Return whether two paces differ by more than a factor."""
     return value > other * factor or other > value * factor
 
 
 def _kinds(steadies: Iterable[float]) -> tuple[float, ...]:
-    """Return a few paces that are like all of some."""
+    """Return the paces without those that are close to a smaller one."""
     kinds: list[float] = []
     for steady in sorted(steadies):
         if not kinds or steady > kinds[-1] * KIND_STEP:
@@ -397,7 +399,7 @@
 
 
 def _together(beliefs: list[PaceBelief], before: Kin) -> Kin:
-    """Return what some beliefs show together; what they do not show is as it was."""
+    """Return the combined estimate; what the estimates lack is taken from the one before."""
     steadies = _kinds({b.told_steady for b in beliefs if b.is_sure and b.told_steady})
     sums = [sum(column) for column in zip(*(b.bad_moments for b in beliefs), strict=True)]
     looks, bad, reached, bad_time = sums or (0.0, 0.0, 0.0, 0.0)
--- a/reachlink/scheduling/_pace_notes.py
+++ b/reachlink/scheduling/_pace_notes.py
@@ -1,7 +1,7 @@
-"""What the instances tell each other of replicas' pace.
+"""Messages by which instances exchange their estimates of replicas' paces.
 
-The struct goes over the wire as an array: the order of its fields is the format, and new
-fields go to the end with a default.
+The struct is sent as an array: the order of its fields is the wire format, and new fields are
+added at the end with a default.
 """
 
 import math
@@ -13,19 +13,19 @@
 
 
 class PaceNote(msgspec.Struct, array_like=True, frozen=True):
-    """What one instance believes of one replica's pace, as whole numbers: half of the bytes.
+    """Estimate of one replica's pace, in integers, which take half of the bytes.
 
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     steady, worst, moment, bad_share : int
-        As in `Pace`, in percent; `moment` as it was observed.
+        As in `Pace`, in percent; `moment` without decay.
     age_ms : int
-        How long before telling the replica was observed, by whomever, in milliseconds: the
-        instances' clocks are not compared.
+        Age of the newest observation at any instance when the message was sent, in
+        milliseconds. It is not a time, since the clocks of instances are not compared.
     born : int
-        When it started, in Unix milliseconds by its own clock; 0 for unknown.
+        Time at which the replica started, in Unix milliseconds by its own clock; 0 if unknown.
     """
 
     replica: str
@@ -37,7 +37,7 @@
     born: int = 0
 
     def heard(self, now: float) -> HeardPace:
-        """Return what it tells, as heard at a monotonic time in seconds."""
+        """Return the estimate as received at a monotonic time in seconds."""
         pace = Pace(
             steady=_between(LEAST, self.steady / 100.0, MOST),
             moment=_between(LEAST, self.moment / 100.0, MOST),
@@ -49,14 +49,14 @@
 
 
 def pace_note(replica: str, pace: Pace, born: int) -> PaceNote:
-    """Return what others are told of a replica that started at `born`, in Unix milliseconds."""
+    """Return the message for a replica that started at `born`, in Unix milliseconds."""
     return PaceNote(
         replica=replica,
         steady=round(100.0 * pace.steady),
         worst=round(100.0 * pace.worst),
         moment=round(100.0 * pace.moment),
         bad_share=round(100.0 * pace.bad_share),
-        # Upwards, so that nothing becomes newer on its way.
+        # Rounded up, so that no observation becomes newer in transfer.
         age_ms=math.ceil(1000.0 * pace.age_s),
         born=born,
     )
--- a/reachlink/scheduling/_paces.py
+++ b/reachlink/scheduling/_paces.py
@@ -1,63 +1,63 @@
-"""What is believed of the pace of one replica in one lifetime; pure."""
+"""Estimate of the pace of one replica in one lifetime; free of I/O and clocks."""
 
 from dataclasses import dataclass
 
 from reachlink.scheduling._looks import LOOK_S, Looks
 from reachlink.scheduling._pace import Pace
 
-# What is believed stays between these, as multiples of the usual: a replica that tells a
-# false pace must neither draw nor lose all work.
+# Bounds of an estimate, as multiples of the nominal pace: a replica that reports a false pace
+# must neither attract nor lose all requests.
 LEAST = 0.25
 MOST = 8.0
-# From this multiple of what lasts on a moment is a bad one.
+# Multiple of the steady pace from which an observation belongs to a slow phase.
 BAD_FROM = 1.5
-# Which of the looks tells what lasts, as a share of them in order: below the median, since
-# moments only make work longer. What is seen is longer by what runs beside it, too.
+# Quantiles of the windows that are taken as the steady pace: below the median, since slow
+# phases only make work longer. Measured durations also grow by the work that runs beside.
 LASTING_TOLD = 0.4
 LASTING_SEEN = 0.25
-# Looks below this number may all be of one bad moment.
+# Number of windows below which all of them may be of one slow phase.
 SURE_LOOKS = 4
-# What is believed of bad moments before any was seen: a long answer lives through several,
-# and who begins must know what they would do to it.
+# Prior estimate of slow phases: a long answer runs through several of them, so their effect
+# must be estimated before the first one is observed.
 PRIOR_WORST = 2.5
 PRIOR_BAD_SHARE = 0.1
-# How close two paces of the same kind of machine are, as a factor.
+# Maximum factor between the paces of two machines of the same kind.
 SAME_KIND = 1.12
-# Half of a moment is over after this time, in seconds.
+# Half-life of `Pace.moment`, in seconds.
 MOMENT_HALF_S = 0.25
-# A moment older than this is over, in seconds.
+# Age after which `Pace.moment` is 1, in seconds.
 MOMENT_KEPT_S = 2.0
-# What is seen outweighs what is told from the first factor between them on, wholly from
-# the second.
+# Factor between the measured and the reported pace from which the measured one counts more,
+# and from which it replaces the reported one.
 DOUBT_FROM = 1.5
 DOUBT_WHOLLY = 2.0
-# What another instance told goes before own looks that are so much older, in seconds.
+# Age difference from which another instance's estimate replaces older own windows, in seconds.
 OWN_FIRST_S = 5.0
-# Observations closer together than this may be the same one, told by two ways, in seconds.
+# Maximum difference of two observation times that may be the same observation, received by
+# two ways, in seconds.
 SAME_S = 0.05
-# A replica's own bad moments weigh as much as those of all replicas of its service from
-# this number of them on, and their share of the time from this number of looks on.
+# Weight of the estimate for the whole service: a replica's own slow phases weigh as much with
+# this number of slow windows, and their share of the time with this number of windows.
 PRIOR_MOMENTS = 2.0
 PRIOR_LOOKS = 16.0
-# Looks whose moments are counted before older ones count half.
+# Number of counted windows at which the counts are halved, so that old windows decay.
 COUNTED_LOOKS = 400.0
 
 
 @dataclass(slots=True, frozen=True)
 class Kin:
-    """What the replicas of one service show together.
+    """Combined estimate for all replicas of one service.
 
     Attributes
     ----------
     steadies : tuple of float
-        What lasts at each of them, where it was told.
+        Distinct steady paces that the replicas reported.
     worst : float
-        What their bad moments reach, as a multiple of what lasts.
+        Factor on the steady pace that slow phases reach on average.
     bad_share : float
-        Share of the time, from 0 to 1, that these take.
+        Share of the time, from 0 to 1, that slow phases take.
     seen_scale : float
-        What is seen at a replica that tells the usual pace, as a multiple of what was
-        expected of such a one.
+        Ratio of the measured to the reported steady pace; median of the replicas.
     """
 
     steadies: tuple[float, ...] = ()
@@ -68,14 +68,14 @@
 
 @dataclass(slots=True, frozen=True)
 class HeardPace:
-    """What another instance told of a replica's pace.
+    """Another instance's estimate of a replica's pace.
 
     Attributes
     ----------
     pace : Pace
-        What it believed; its age as of `heard_at`.
+        Estimate, with the age as of `heard_at`.
     heard_at : float
-        When that was told, in monotonic seconds.
+        Monotonic time at which it was received, in seconds.
     """
 
     pace: Pace
@@ -83,17 +83,17 @@
 
     @property
     def observed_at(self) -> float:
-        """When the replica was observed last, in monotonic seconds."""
+        """Monotonic time of the newest observation of the replica, in seconds."""
         return self.heard_at - self.pace.age_s
 
 
 class PaceBelief:
-    """What is believed of one replica in one lifetime.
+    """Estimate of the pace of one replica in one lifetime.
 
     Parameters
     ----------
     kin : Kin
-        What the replicas of its service show together.
+        Combined estimate for all replicas of its service.
 
     Examples
     --------
@@ -142,77 +142,77 @@
 
     @property
     def steady(self) -> float:
-        """What lasts, as a multiple of the usual."""
+        """Steady pace, as a multiple of the nominal one."""
         return self._steady
 
     @property
     def worst(self) -> float:
-        """What bad moments reach, on top of what lasts."""
+        """Factor on the steady pace that slow phases reach on average."""
         return self._worst
 
     @property
     def bad_share(self) -> float:
-        """Share of the time, from 0 to 1, that bad moments take."""
+        """Share of the time, from 0 to 1, that slow phases take."""
         return self._bad_share
 
     @property
     def told_steady(self) -> float | None:
-        """What lasts by what the replica told here; None where it told nothing."""
+        """Steady pace by the replica's reports to this instance; None without reports."""
         return self._told_steady if self._told.count else None
 
     @property
     def knows_moments(self) -> bool:
-        """Whether bad moments were observed here, and not only at others of its service."""
+        """Whether enough slow windows of this replica itself were observed."""
         return self._bad_looks >= PRIOR_MOMENTS
 
     @property
     def is_sure(self) -> bool:
-        """Whether it told long enough that not all of it can be one bad moment."""
+        """Whether there are too many reported windows for all to be of one slow phase."""
         return self._told.count >= SURE_LOOKS
 
     @property
     def seen_steady(self) -> float | None:
-        """What lasts by what was seen here, not yet scaled; None where too little was."""
+        """Steady pace by measurements here, not yet scaled; None with too few windows."""
         return self._seen.steady if self._seen.count >= SURE_LOOKS - 1 else None
 
     @property
     def bad_moments(self) -> tuple[float, float, float, float]:
-        """Looks, bad ones, what these reached in sum, and their time in looks."""
+        """Windows, slow windows, sum of the latter's factors, and slow time in windows."""
         return self._looks, self._bad_looks, self._bad_sum, self._bad_time
 
     @property
     def observed_at(self) -> float:
-        """When the replica was observed here last, in monotonic seconds."""
+        """Monotonic time of the newest observation at this instance, in seconds."""
         return max(self._told.newest_at, self._seen.newest_at)
 
     def take_kin(self, kin: Kin) -> None:
-        """Take what the replicas of the service show together, for the next observations."""
+        """Set the combined estimate for the service, used from the next observation on."""
         self._kin = kin
 
     def note_told(self, pace: float, now: float) -> None:
-        """Note a pace that the replica told, as a multiple of the usual."""
+        """Record a pace that the replica reported, as a multiple of the nominal one."""
         self._told.add(_bounded(pace), now)
         self._renew()
 
     def note_seen(self, pace: float, now: float, rough: bool = False) -> None:
-        """Note how long work was seen to take, as a multiple of what is expected.
+        """Record a measured duration of work, as a multiple of the expected one.
 
         Parameters
         ----------
         pace : float
-            How long it took, as a multiple of what is expected.
+            Measured duration divided by the expected one.
         now : float
             Monotonic time in seconds.
         rough : bool
-            Whether such work differs by itself by more than paces do: it says something
-            where the replica tells nothing, and gives no doubt of what it tells.
+            Whether durations of such work vary by more than paces do. Such a measurement is
+            used if the replica reports nothing, and does not overrule its reports.
         """
         self._rough = rough
         self._seen.add(pace, now)
         self._renew()
 
     def hear(self, heard: HeardPace) -> bool:
-        """Note what another instance told; return whether it is newer than what was heard."""
+        """Record another instance's estimate; return whether it is newer than the last one."""
         if self._heard is not None and heard.observed_at <= self._heard.observed_at + SAME_S:
             return False
         self._heard = heard
@@ -220,7 +220,7 @@
         return True
 
     def pace(self, now: float) -> Pace:
-        """Return what is believed at a monotonic time in seconds."""
+        """Return the estimate at a monotonic time in seconds."""
         moment, at = self._newest_moment()
         age_s = now - at
         if moment != 1.0:
@@ -228,20 +228,20 @@
         return Pace(self._steady, moment, self._worst, self._bad_share, age_s)
 
     def observed(self, now: float) -> Pace:
-        """Return what is believed, with the newest moment as it was observed."""
+        """Return the estimate without decay of `Pace.moment`."""
         moment, at = self._newest_moment()
         return Pace(self._steady, moment, self._worst, self._bad_share, now - at)
 
     def _newest_moment(self) -> tuple[float, float]:
-        """Return the newest moment and when it was, in monotonic seconds."""
+        """Return the newest momentary factor and its monotonic time in seconds."""
         moment, at = 1.0, self._told.newest_at
         if self._told.count:
             moment = self._told.newest / self._told_steady
-        # What was seen is of the whole look before it.
+        # A measurement covers the whole window before it.
         if self._seen.newest_at > at + LOOK_S:
             at = self._seen.newest_at
             ratio = self._seen.newest / self._seen.steady
-            # What was read beside it makes events later, too.
+            # Prompts that are processed beside a stream also delay its events.
             moment = ratio if ratio >= BAD_FROM else 1.0
         heard = self._heard
         if heard is not None and heard.observed_at > at + SAME_S:
@@ -249,7 +249,7 @@
         return moment, at
 
     def _renew(self) -> None:
-        """Work out again what lasts, and what bad moments reach."""
+        """Recompute the steady pace and the slow phases."""
         heard = self._heard
         if self._told.count:
             self._told_steady = self._lasting_told()
@@ -272,14 +272,14 @@
         return likely_steady(steady, self._kin.steadies, self._kin.worst)
 
     def _seen_pace(self) -> float:
-        """Return what lasts by what was seen; few looks count in part."""
+        """Return the steady pace by measurements; few windows count in part."""
         if not self._seen.count:
             return 1.0
         sure = min(1.0, self._seen.count / (SURE_LOOKS - 1))
         return float((self._seen.steady / self._kin.seen_scale) ** sure)
 
     def _doubt(self) -> float:
-        """Return the factor by which what is seen outweighs what is told."""
+        """Return the correction of the reported pace by contradicting measurements."""
         if self._rough or self._seen.count < SURE_LOOKS - 1:
             return 1.0
         ratio = self._seen_pace() / self._told_steady
@@ -310,7 +310,7 @@
             self._count(low / self._seen.steady, high / self._seen.steady)
 
     def _count(self, low: float, high: float) -> None:
-        """Count a look by its lowest and highest multiple of what lasts."""
+        """Count a window by its lowest and highest multiple of the steady pace."""
         if self._looks >= COUNTED_LOOKS:
             self._looks /= 2.0
             self._bad_looks /= 2.0
@@ -320,22 +320,25 @@
         if high < BAD_FROM:
             return
         self._bad_looks += 1.0
-        # One out of all measure would outweigh those of all replicas of the service.
+        # A single extreme value would outweigh those of all replicas of the service.
         self._bad_sum += min(MOST, high)
         self._bad_time += 1.0 if low >= BAD_FROM else 0.5
 
 
 def likely_steady(pace: float, steadies: tuple[float, ...], worst: float) -> float:
-    """Return what likely lasts at a replica of which only the first figures are known.
+    """Return the likely steady pace of a replica with only a few observations.
+
+    The first reports may fall into a slow phase; the known paces tell which of the two is
+    more likely.
 
     Parameters
     ----------
     pace : float
-        What it told, as a multiple of the usual.
+        Reported pace, as a multiple of the nominal one.
     steadies : tuple of float
-        What lasts at others of its service, or by what others said of it.
+        Steady paces of the replicas of its service, or other instances' estimates for it.
     worst : float
-        What bad moments reach there, as a multiple of what lasts; 1 where that is unknown.
+        Factor on the steady pace that slow phases reach on average; 1 if unknown.
 
     Examples
     --------
@@ -359,7 +362,7 @@
 
 
 def _faded(moment: float, age_s: float) -> float:
-    """Return what is left of a moment after some time, in seconds."""
+    """Return a momentary factor after some time, in seconds, of decay to 1."""
     if age_s >= MOMENT_KEPT_S:
         return 1.0
     left = 0.5 ** (max(0.0, age_s) / MOMENT_HALF_S)
--- a/reachlink/scheduling/_refusal.py
+++ b/reachlink/scheduling/_refusal.py
@@ -1,8 +1,8 @@
-"""Who is refused at once, and when there is a place for whom; pure.
+"""Refusal of requests on arrival, and the time after which they retry; free of I/O and clocks.
 
-Load: more is asked for than there is room for, in bursts or for long, by few workspaces or
-by many. Who could not end before its deadline is told so on arrival, with a time of its own,
-so that those who are refused together do not come back together.
+Under overload, in bursts or for long, by few workspaces or by many, a request that could not
+end before its deadline is refused on arrival. Each refusal carries a retry time of its own,
+so that requests that are refused together do not retry together.
 """
 
 from collections.abc import Mapping
@@ -15,28 +15,29 @@
 from reachlink.scheduling._line_state import LineState
 from reachlink.scheduling._need import Need
 
-# Least time to come back, in seconds: what is known of room is as old as that.
+# Minimum retry time, in seconds: the known state of the capacity is this old.
 LEAST_S = 0.1
-# Most time to come back, in seconds: how fast room comes is not known for longer ahead.
+# Maximum retry time, in seconds: the drain rate is not predictable for longer.
 MOST_S = 30.0
-# Callers keep to a time up to this share of what they have left: a longer one is cut by them.
+# Callers respect a retry time up to this share of their remaining time and shorten a longer
+# one.
 OBEYED_SHARE = 1.0 / 3.0
-# By how much a time is drawn out, or where it is at its bound shortened, by chance.
+# Random share by which a retry time is lengthened, or shortened if it is at its maximum.
 SPREAD = 0.1
-# A service is crowded for a request that would wait for this share of the time in which it is
-# in time: beyond, too little of that is left for reading its prompt.
+# A service is overloaded for a request whose wait takes at least this share of the time until
+# its first event is due: with a longer wait, too little is left for processing its prompt.
 CROWDED_SHARE = 0.25
-# Of the room that comes, so much is promised to those who come back at the most: they are late
-# as a rule, and take it from others who could be in time.
+# Maximum share of the freed capacity that is reserved for retries: retries are usually late
+# already and take the capacity from requests that could be in time.
 PROMISED_SHARE = 0.1
-# What a wait is taken for that nothing has been seen of yet, in seconds.
+# Assumed wait while no drain rate is known, in seconds.
 UNKNOWN_WAIT_S = 1.0
-# Longest wait that is foretold, in seconds.
+# Maximum of an expected wait, in seconds.
 LONGEST_WAIT_S = 3600.0
 
 
 class RefusalReason(Enum):
-    """Why a request is refused; the value is its code in logs and metrics."""
+    """Reason of a refusal; the value is its code in logs and metrics."""
 
     NO_ROOM = "no_room"
     LINE_FULL = "line_full"
@@ -44,17 +45,17 @@
 
 
 class Refuse(msgspec.Struct, array_like=True, frozen=True, tag=2):
-    """It would not begin while its caller waits.
+    """The request is refused; its caller may retry.
 
     Attributes
     ----------
     come_back_in_s : float
-        When to come back, in seconds; finite.
+        Time after which the caller should retry, in seconds; finite.
     reason : RefusalReason
-        Why.
+        Reason of the refusal.
     kept : bool
-        Whether a place is expected for it then, which is kept. Otherwise that is only the
-        longest time that its caller keeps to.
+        Whether capacity is expected at that time and reserved for the retry. Otherwise the
+        time is only the longest that the caller respects.
     """
 
     come_back_in_s: float
@@ -63,42 +64,42 @@
 
 
 def expected_wait_s(need: Need, line: LineState) -> float:
-    """Return the time until there is room for a request, in seconds; always finite.
+    """Return the expected time until there is capacity for a request, in seconds; finite.
 
-    Who was told to come back goes before a newcomer, and after others who have come back.
+    A retry at its given time goes ahead of a new request, and behind earlier retries.
 
     Parameters
     ----------
     need : Need
-        What it needs.
+        Resources and deadlines of the request.
     line : LineState
-        What stands between it and room.
+        State of the queue ahead of the request.
     """
     if line.drain_tokens_per_s <= 0.0:
         return UNKNOWN_WAIT_S
     wait_s = (line.ahead_tokens + need.tokens) / line.drain_tokens_per_s
     if not need.returner:
-        # They come with their part of the room at the most.
+        # Retries take at most their reserved share of the capacity.
         all_told_s = line.told_tokens / line.drain_tokens_per_s
         wait_s = min(wait_s + all_told_s, wait_s / (1.0 - PROMISED_SHARE))
     return min(LONGEST_WAIT_S, wait_s)
 
 
 def refusal(need: Need, line: LineState, random: Random) -> Refuse | None:
-    """Return the refusal of a request for which no place is free, or None where it may wait.
+    """Return the refusal of a request that finds no capacity, or None if it may wait.
 
-    Nobody is refused for a wait that nobody has measured. A workspace that has its share is
-    refused as soon as the service is crowded, before others are; who has come back when it
-    was told is not, as it was refused once for that.
+    No request is refused while the drain rate is unknown. Requests of a workspace that has
+    its share already are refused as soon as the service is overloaded, before others. A retry
+    at its given time is not refused for that again.
 
     Parameters
     ----------
     need : Need
-        What it needs, and by when.
+        Resources and deadlines of the request.
     line : LineState
-        What stands between it and room.
+        State of the queue ahead of the request.
     random : random.Random
-        Spreads the times that are told.
+        Source of the jitter on retry times.
     """
     if line.drain_tokens_per_s <= 0.0:
         return None
@@ -112,18 +113,18 @@
 
 
 def refuse(need: Need, line: LineState, reason: RefusalReason, random: Random) -> Refuse:
-    """Return a refusal with the time to come back.
+    """Return a refusal with its retry time.
 
     Parameters
     ----------
     need : Need
-        What the request needs, and by when.
+        Resources and deadlines of the request.
     line : LineState
-        What stands between it and room.
+        State of the queue ahead of the request.
     reason : RefusalReason
-        Why it is refused.
+        Reason of the refusal.
     random : random.Random
-        Spreads the times that are told.
+        Source of the jitter on retry times.
     """
     most_s = most_told_s(need)
     place_s = _slot_s(need, line) * (1.0 + SPREAD * random.random())
@@ -134,7 +135,10 @@
 
 
 def _slot_s(need: Need, line: LineState) -> float:
-    """Return when there is a place for one who comes back, behind those told before."""
+    """Return the time until capacity can be reserved for a retry, in seconds.
+
+    It comes after the retries for which capacity is reserved already.
+    """
     if line.drain_tokens_per_s <= 0.0:
         return UNKNOWN_WAIT_S
     promised_s = (line.told_tokens + need.tokens) / (PROMISED_SHARE * line.drain_tokens_per_s)
@@ -142,21 +146,21 @@
 
 
 def most_told_s(need: Need) -> float:
-    """Return the longest time to come back that is of use to a caller, in seconds."""
+    """Return the longest retry time that a caller respects, in seconds."""
     return min(MOST_S, max(LEAST_S, OBEYED_SHARE * need.give_up_in_s))
 
 
 def is_over_share(workspace: str, asked: Mapping[str, float], room: float) -> bool:
-    """Return whether a workspace asks for more than its share of what there is.
+    """Return whether a workspace demands more than its share of the capacity.
 
     Parameters
     ----------
     workspace : str
-        The workspace.
+        Name of the workspace.
     asked : mapping of str to float
-        What each workspace asks for, what it has included.
+        Demand of each workspace, including what it has already.
     room : float
-        What there is, in the same unit.
+        Capacity, in the same unit.
 
     Examples
     --------
@@ -169,19 +173,21 @@
 
 
 def equal_share(asked: Mapping[str, float], room: float) -> float:
-    """Return what each workspace may have, if what one leaves goes to the others.
+    """Return the max-min fair share of each workspace.
+
+    What a workspace leaves of its share goes to the others.
 
     Parameters
     ----------
     asked : mapping of str to float
-        What each workspace asks for.
+        Demand of each workspace.
     room : float
-        What there is, in the same unit.
+        Capacity, in the same unit.
 
     Returns
     -------
     float
-        Infinite where there is enough for all.
+        Maximum for each workspace; infinite if the capacity suffices for all.
     """
     left, those_left = room, len(asked)
     for wanted in sorted(asked.values()):
--- a/reachlink/scheduling/_returns.py
+++ b/reachlink/scheduling/_returns.py
@@ -1,8 +1,8 @@
-"""What was promised to callers who were refused, so that they find their place; pure.
+"""Reservations for the retries of refused callers; free of I/O and clocks.
 
-Load: callers who come back, at any instance and under another request id. The owner of a
-line sees all that ask for its service and keeps the book; what makes a request the same is
-its keyed digest, so that nobody can come in another's place.
+Callers retry at any instance and under another request id. The owner of a queue sees all
+requests for its service and keeps the reservations. A retry is recognized by the keyed digest
+of the request, so that no caller can use the reservation of another.
 """
 
 import heapq
@@ -15,43 +15,44 @@
 from reachlink.scheduling._refusal import LEAST_S, RefusalReason, Refuse
 from reachlink.scheduling._start import Begin, Start
 
-# How long after its time a promise is kept, in seconds: a new channel takes up to a second.
+# Time after the retry time at which a reservation expires, in seconds: opening a new channel
+# takes up to a second.
 KEPT_S = 2.0
-# How much sooner than told a caller may come, in seconds: times are told in milliseconds, and
-# timers are a little off.
+# Tolerance for retries before their time, in seconds: retry times are sent in milliseconds,
+# and timers are inexact.
 EARLY_S = 0.02
-# Promises that are kept at the most: some 300 B each. At the bound the one that would end
-# first goes.
+# Maximum number of reservations, some 300 B each; above it, the one that expires first is
+# dropped.
 MAX_PROMISES = 4096
-# Promises of one workspace in one service: one that is refused on purpose, to be let in
-# first later, gains no more than these places.
+# Maximum number of reservations per workspace and service: a workspace that provokes refusals
+# to be served first later gains no more than these.
 MAX_OF_WORKSPACE = 128
-# The age that is given back at the most, in seconds.
+# Maximum age that a retry is credited with, in seconds.
 MAX_AGE_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
 class Promise:
-    """What a refused caller was told; times are monotonic, in seconds.
+    """Reservation for the retry of a refused caller; times are monotonic, in seconds.
 
     Attributes
     ----------
     fingerprint : int
-        Its request.
+        Keyed digest of the request.
     service : str
-        The service.
+        Service of the request.
     workspace : str
-        Who it is for.
+        Workspace of the request.
     tokens : int
-        Memory that it needs, in tokens.
+        Memory that the request needs, in tokens.
     first_at : float
-        When it came first.
+        Time at which the caller's first attempt arrived.
     due_at : float
-        When it was told to come back.
+        Time at which the caller was told to retry.
     until : float
-        Until when the promise is kept.
+        Time at which the reservation expires.
     place : bool
-        Whether a place was promised, or only that its age counts.
+        Whether capacity is reserved; otherwise the retry is only credited with its age.
     """
 
     fingerprint: int
@@ -66,18 +67,18 @@
 
 @dataclass(slots=True)
 class ReturnCounts:
-    """What became of promises and refusals.
+    """Counts of reservations by outcome, and of refusals by reason.
 
     Attributes
     ----------
     kept : int
-        Places that were promised, and given to who came in time.
+        Reserved places whose callers retried in time and started.
     broken : int
-        Places that were promised, to who came in time and was refused again.
+        Reserved places whose callers retried in time and were refused again.
     not_taken_up : int
-        Places whose callers did not come.
+        Reserved places whose callers did not retry in time.
     dropped : int
-        Promises that were given up at the bound.
+        Reservations that were dropped because there were too many.
     refused : Counter of RefusalReason
         Refusals by reason.
     """
@@ -90,18 +91,18 @@
 
 
 class ReturnBook:
-    """The promises to those who were refused.
+    """Reservations for the retries of refused callers.
 
     Attributes
     ----------
     counts : ReturnCounts
-        What became of them.
+        Reservations by outcome, and refusals by reason.
     """
 
     def __init__(self) -> None:
         self.counts = ReturnCounts()
         self._promises: dict[int, Promise] = {}
-        # Ends of all promises; those of promises that were taken stay in it for a while.
+        # Heap of the expiry times; it holds those of claimed reservations for a while.
         self._ends: list[tuple[float, int]] = []
         self._told_tokens: Counter[str] = Counter()
         self._of_workspace: Counter[tuple[str, str]] = Counter()
@@ -110,34 +111,35 @@
         return len(self._promises)
 
     def told_tokens(self, service: str, now: float) -> int:
-        """Return the memory for those to whom places of a service are promised, in tokens."""
+        """Return the memory of a service that is reserved for retries, in tokens."""
         self._drop_ended(now)
         return self._told_tokens[service]
 
     def promise(
         self, fingerprint: int, service: str, need: Need, refuse: Refuse, now: float
     ) -> Promise | None:
-        """Keep what a refused caller is told.
+        """Make the reservation for a refused caller, or return its present one.
 
-        Who asks again before its time is told the rest of it: its promise stands.
+        A caller that retries before its time keeps its reservation and waits for the rest of
+        the time.
 
         Parameters
         ----------
         fingerprint : int
-            Its request; 0 where it can't be known again.
+            Keyed digest of the request; 0 if a retry can't be recognized.
         service : str
-            The service.
+            Service of the request.
         need : Need
-            What it needs.
+            Resources and deadlines of the request.
         refuse : Refuse
-            What it would be told.
+            Refusal of the request.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         Promise or None
-            What holds; None where nothing is kept.
+            Reservation in force; None if none was made.
         """
         self._drop_ended(now)
         before = self._promises.get(fingerprint)
@@ -161,19 +163,19 @@
         return made
 
     def take(self, fingerprint: int, now: float) -> Promise | None:
-        """Return the promise to a caller who comes back in its time, once.
+        """Remove and return the reservation of a caller that retries in time.
 
         Parameters
         ----------
         fingerprint : int
-            Its request.
+            Keyed digest of the request.
         now : float
             Monotonic time in seconds.
 
         Returns
         -------
         Promise or None
-            None for who comes early, late, or again.
+            None if the retry is early or late, or if the reservation was claimed already.
         """
         self._drop_ended(now)
         promise = self._promises.get(fingerprint)
@@ -183,12 +185,12 @@
         return promise
 
     def give_back(self, promise: Promise, now: float) -> None:
-        """Keep a promise anew: who came for it in time was not heard of any more.
+        """Renew a claimed reservation: the instance of its caller stopped querying.
 
         Parameters
         ----------
         promise : Promise
-            What `take` returned.
+            Reservation that `take` returned.
         now : float
             Monotonic time in seconds.
         """
@@ -207,23 +209,23 @@
         start: Start,
         now: float,
     ) -> Start:
-        """Note what became of a request, and return what its caller is told.
+        """Record the decision about a request, and return it as its caller gets it.
 
-        It is asked when a request arrives and, for one that waited, when it begins or is
-        refused after all.
+        It is called when a request arrives and, for a request that waited, when it starts or
+        is refused. A refusal is adjusted to the reservation in force.
 
         Parameters
         ----------
         promise : Promise or None
-            What it had been promised, as `take` returned.
+            Reservation of the request that `take` returned.
         fingerprint : int
-            The request; 0 where it can't be known again.
+            Keyed digest of the request; 0 if a retry can't be recognized.
         service : str
-            Its service.
+            Service of the request.
         need : Need
-            What it needs, as `with_return` returned.
+            Resources and deadlines of the request, as `with_return` returned them.
         start : Start
-            What was decided.
+            Decision about the request.
         now : float
             Monotonic time in seconds.
         """
@@ -249,7 +251,7 @@
         self._of_workspace[promise.service, promise.workspace] += 1
 
     def _forget(self, fingerprint: int) -> None:
-        """Drop what is promised to one that has begun: it came early."""
+        """Drop the reservation of a request that retried early and has started."""
         promise = self._promises.get(fingerprint)
         if promise is not None:
             self._remove(promise)
@@ -261,7 +263,7 @@
         self._of_workspace[of_workspace] -= 1
         if not self._of_workspace[of_workspace]:
             del self._of_workspace[of_workspace]
-        # What was taken is left among the ends; they must not outgrow the promises.
+        # Expiry times of claimed reservations stay in the heap, which must remain bounded.
         if len(self._ends) > 2 * MAX_PROMISES:
             self._ends = [(p.until, p.fingerprint) for p in self._promises.values()]
             heapq.heapify(self._ends)
@@ -282,21 +284,21 @@
                 return
 
     def _pop_first(self) -> Promise | None:
-        """Return the promise whose end comes first, or None where it was taken already."""
+        """Return the reservation that expires first, or None if it was claimed already."""
         until, fingerprint = heapq.heappop(self._ends)
         promise = self._promises.get(fingerprint)
         return promise if promise is not None and promise.until == until else None
 
 
 def with_return(need: Need, promise: Promise | None, now: float) -> Need:
-    """Return what a request needs, with the age that its caller has come back with.
+    """Return the needs of a retry, credited with the age since its first attempt.
 
     Parameters
     ----------
     need : Need
-        What it needs by itself.
+        Resources and deadlines of the request by itself.
     promise : Promise or None
-        What its caller had been told, as `ReturnBook.take` returned.
+        Reservation that `ReturnBook.take` returned.
     now : float
         Monotonic time in seconds.
     """
--- a/reachlink/scheduling/_rhythm.py
+++ b/reachlink/scheduling/_rhythm.py
@@ -1,4 +1,4 @@
-"""How fast the events of a running stream come; pure."""
+"""Intervals between the events of a running stream; free of I/O and clocks."""
 
 from reachlink.scheduling._forecast import ENGINE_SPEED, EngineSpeed
 from reachlink.scheduling._looks import LOOK_S
@@ -7,22 +7,22 @@
 def usual_event_s(
     running: int, tokens_per_event: int = 1, speed: EngineSpeed = ENGINE_SPEED
 ) -> float:
-    """Return the time between two events at an engine of the usual pace, in seconds.
+    """Return the time between two events at an engine of nominal pace, in seconds.
 
     Parameters
     ----------
     running : int
-        Generations that run there; no prompt is read beside them.
+        Number of generations that run there; no prompt is processed beside them.
     tokens_per_event : int
-        Tokens that one event of a stream holds.
+        Number of tokens in one event of a stream.
     speed : EngineSpeed
-        What work takes at such an engine.
+        Durations of work at such an engine.
     """
     return max(1, tokens_per_event) * (speed.step_s + speed.step_slot_s * running)
 
 
 class StreamRhythm:
-    """Time between the events of one stream, told once a look.
+    """Mean interval between the events of one stream, once per observation window.
 
     Examples
     --------
@@ -34,16 +34,16 @@
     __slots__ = ("_number", "_since")
 
     def __init__(self) -> None:
-        # The event that the look began with, and when that was, in monotonic seconds.
+        # First event of the window, and its monotonic time in seconds.
         self._number = -1
         self._since = float("inf")
 
     def begin_again(self) -> None:
-        """Forget the look: the stream goes on at another replica."""
+        """Discard the window: the stream continues at another replica."""
         self._since = float("inf")
 
     def note(self, number: int, now: float) -> float | None:
-        """Note that events up to a number came.
+        """Record that the events up to a number arrived.
 
         Parameters
         ----------
@@ -55,7 +55,7 @@
         Returns
         -------
         float or None
-            Time an event in the look that is over, in seconds; None while it lasts.
+            Mean interval between events when the window ends, in seconds; None before.
         """
         passed = now - self._since
         if 0.0 <= passed < LOOK_S:
--- a/reachlink/scheduling/_settings.py
+++ b/reachlink/scheduling/_settings.py
@@ -1,34 +1,34 @@
-"""Which parts of scheduling a deployment asks for."""
+"""Settings that enable the parts of scheduling in a deployment."""
 
 from typing import Annotated
 
 import msgspec
 from msgspec import structs
 
-# Memory that an entry process takes with nothing held for callers, in MB.
+# Memory of an entry process that buffers nothing for callers, in MB.
 PROCESS_MB = 64
-# Part of the rest that is held for callers and replicas at the most: connections,
-# requests and what is known of replicas take memory, too.
+# Maximum share of the remaining memory that is used for buffers of callers and replicas;
+# connections, requests and the state of replicas need the rest.
 HELD_PART = 0.45
-# Held on the smallest machine, in MB: callers' largest bodies must fit.
+# Buffer size on the smallest machine, in MB: the largest request bodies must fit.
 LEAST_HELD_MB = 13
 
 
 class SchedulingSettings(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """What a deployment's settings ask for; the others are served without.
+    """Scheduling settings of a deployment.
 
     Attributes
     ----------
     line : bool
-        Whether requests that find no room stand in one line a zone and service.
+        Whether requests that find no capacity wait in one queue per zone and service.
     pace : bool
-        Whether requests go by how fast replicas work, where these tell it.
+        Whether placement uses the speed of replicas, where these report it.
     held_bytes : int
-        Bytes that an instance holds at the most for callers and replicas that are slow to
-        read or to send; 0 for any number.
+        Maximum number of bytes that an instance buffers for callers and replicas that are
+        slow to read or to send; 0 means unlimited.
     over_zones : bool
-        Whether the line is one over all zones that reach each other, in place of one a zone:
-        order and shares then hold across zones, and questions go between these.
+        Whether one queue serves all zones that reach each other, instead of one queue per
+        zone. Order and shares then apply across zones, and queue requests cross zones.
     """
 
     line: bool = False
@@ -38,14 +38,14 @@
 
 
 class SchedulingChoice(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
-    """What a deployment's settings say otherwise, part by part; None for as usual there.
+    """Overrides of `SchedulingSettings`; None keeps the default of the deployment.
 
     Attributes
     ----------
     line, pace, over_zones : bool, optional
         See `SchedulingSettings`.
     held_bytes : int, optional
-        The same.
+        See `SchedulingSettings`.
 
     Examples
     --------
@@ -59,14 +59,14 @@
     over_zones: bool | None = None
 
     def settings(self, crowded: bool, memory_mb: float = 0.0) -> SchedulingSettings:
-        """Return what a deployment asks for.
+        """Return the scheduling settings of a deployment with the overrides applied.
 
         Parameters
         ----------
         crowded : bool
-            Whether its callers compete for too little room, and may be slow to read.
+            Whether callers compete for too little capacity and may be slow to read.
         memory_mb : float
-            Memory that this process may take, in MB; 0 for unknown.
+            Memory available to this process, in MB; 0 if unknown.
         """
         held_bytes = held_part(memory_mb) if crowded else 0
         usual = SchedulingSettings(line=crowded, over_zones=crowded, held_bytes=held_bytes)
@@ -75,12 +75,12 @@
 
 
 def held_part(memory_mb: float) -> int:
-    """Return the bytes that an instance holds for callers and replicas; 0 for any number.
+    """Return the number of bytes that an instance buffers; 0 means unlimited.
 
     Parameters
     ----------
     memory_mb : float
-        Memory that its process may take, in MB; 0 for unknown.
+        Memory available to its process, in MB; 0 if unknown.
 
     Examples
     --------
--- a/reachlink/scheduling/_shares.py
+++ b/reachlink/scheduling/_shares.py
@@ -1,4 +1,4 @@
-"""What each workspace was granted lately, and its share of what there is; pure."""
+"""Memory granted to each workspace recently, and its fair share; free of I/O and clocks."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -6,13 +6,15 @@
 
 from reachlink.scheduling._refusal import equal_share
 
-# After this time a grant counts half, in seconds: longer than most answers run.
+# Half-life of a grant's weight, in seconds: longer than most answers run.
 HALF_LIFE_S = 15.0
-# Granted at a steady pace for ever counts as much as for this time, in seconds.
+# Mean lifetime of a grant's weight, in seconds: with grants at a constant rate, the decayed
+# sum converges to the rate times this.
 COUNTED_S = HALF_LIFE_S / log(2.0)
-# Workspaces with less than one usual request between them are equals, in tokens.
+# Grants of workspaces are compared in steps of about one request, in tokens.
 EQUAL_TOKENS = 4_000.0
-# Workspaces that are kept at the most, some 100 B each: those that had the least go.
+# Maximum number of workspaces in the table, some 100 B each; those with the smallest grants
+# are dropped first.
 MAX_WORKSPACES = 512
 
 
@@ -23,7 +25,7 @@
 
 
 class WorkspaceShares:
-    """Memory granted to each workspace, fading.
+    """Exponentially decaying sums of the memory granted to each workspace.
 
     Examples
     --------
@@ -40,25 +42,25 @@
         return len(self._granted)
 
     def add(self, workspace: str, tokens: int, now: float) -> None:
-        """Note a grant, in tokens, at a monotonic time in seconds."""
+        """Record a grant, in tokens, at a monotonic time in seconds."""
         before = self.tokens(workspace, now)
         if workspace not in self._granted and len(self._granted) >= MAX_WORKSPACES:
             del self._granted[min(self._granted, key=lambda name: self.tokens(name, now))]
         self._granted[workspace] = _Granted(before + tokens, now)
 
     def rank(self, workspace: str, now: float) -> int:
-        """Return how much a workspace had, in steps of what counts as equal; least goes first."""
+        """Return the recent grants of a workspace in steps of `EQUAL_TOKENS`; least goes first."""
         return int(self.tokens(workspace, now) // EQUAL_TOKENS)
 
     def share(self, asked: Mapping[str, float], tokens_per_s: float, now: float) -> float:
-        """Return what each workspace may have of what there is, in tokens; infinite for enough.
+        """Return the fair share of each workspace, in tokens; infinite if there is enough.
 
         Parameters
         ----------
         asked : mapping of str to float
-            What those that wait were granted lately and wait for, in tokens.
+            Recent grants and waiting requests of each workspace in the queue, in tokens.
         tokens_per_s : float
-            Memory that becomes free, in tokens a second; 0 where that is not known.
+            Memory that becomes free per second, in tokens; 0 if unknown.
         now : float
             Monotonic time in seconds.
         """
@@ -68,7 +70,7 @@
         return equal_share({**had, **asked}, tokens_per_s * COUNTED_S)
 
     def tokens(self, workspace: str, now: float) -> float:
-        """Return what a workspace was granted lately, in tokens."""
+        """Return the recent grants of a workspace, in tokens."""
         granted = self._granted.get(workspace)
         if granted is None:
             return 0.0
--- a/reachlink/scheduling/_start.py
+++ b/reachlink/scheduling/_start.py
@@ -1,7 +1,7 @@
-"""Where and when a request would best begin, if at all; pure.
+"""Decision where and when a request starts, or that it is refused; free of I/O and clocks.
 
-The one answer to that question. It is asked by an instance that decides alone and by a
-coordinator that decides for its members, with what each knows.
+An instance that decides alone and a coordinator that decides for its members use the same
+function, each with the state that it knows.
 """
 
 from collections.abc import Sequence
@@ -18,26 +18,26 @@
 
 
 class Begin(msgspec.Struct, array_like=True, frozen=True, tag=0):
-    """It begins now.
+    """The request starts now.
 
     Attributes
     ----------
     replica : str
-        Where.
+        Replica at which it starts.
     """
 
     replica: str
 
 
 class Wait(msgspec.Struct, array_like=True, frozen=True, tag=1):
-    """It stands in line: room is expected while its caller is there.
+    """The request waits in the queue: capacity is expected before its caller disconnects.
 
     Attributes
     ----------
     in_s : float
-        Time until it is expected to begin, in seconds; a usual one where unknown.
+        Expected time until it starts, in seconds; a default if unknown.
     ahead : int
-        Requests that go first.
+        Number of requests ahead of it.
     """
 
     in_s: float
@@ -45,7 +45,7 @@
 
 
 Start = Begin | Wait | Refuse
-"""When and where a request begins."""
+"""Decision about the start of a request."""
 
 
 def best_start(
@@ -55,24 +55,24 @@
     line: LineState = NO_LINE,
     terms: Terms = REQUEST,
 ) -> Start:
-    """Return where and when a request would best begin, if at all.
+    """Return where and when a request starts, or its refusal.
 
     Parameters
     ----------
     options : sequence of Option
-        Replicas that may get it.
+        Candidate replicas.
     need : Need
-        What it needs, and by when.
+        Resources and deadlines of the request.
     random : random.Random
-        Source of tie-breaks.
+        Source of random numbers for drawing and for breaking ties.
     line : LineState
-        What stands between it and room.
+        State of the queue ahead of the request.
     terms : Terms
-        On what terms an engine's memory is given.
+        Rules by which the memory of engines is given.
     """
     name = choose(options, need.tokens, random, terms, need)
     if name is not None and not line.ahead:
         return Begin(name)
-    # While a place is free those who wait go on, this one among them.
+    # While a replica has capacity, waiting requests start soon, this one among them.
     refused = refusal(need, line, random) if name is None else None
     return refused or Wait(expected_wait_s(need, line), line.ahead)
--- a/reachlink/scheduling/_terms.py
+++ b/reachlink/scheduling/_terms.py
@@ -1,11 +1,11 @@
-"""On what terms a replica's room is given."""
+"""Rules by which the memory of a replica is given to requests and copies."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Measure(Enum):
-    """Which memory of a replica counts as taken."""
+    """Memory of a replica that counts as taken."""
 
     PROMISED = "promised"
     USED = "used"
@@ -14,22 +14,23 @@
 
 @dataclass(slots=True, frozen=True)
 class Terms:
-    """On what terms an engine's memory is given.
+    """Rules by which the memory of an engine is given.
 
     Attributes
     ----------
     full : float
         Share of the memory that may be taken.
     far : float
-        How much more of its memory a replica of another zone may have free and
-        yet not be preferred, as a share.
+        Share of the memory by which the load of a replica in another zone must be lower
+        for that replica to be preferred.
     measure : Measure
-        What counts as taken.
+        Memory that counts as taken.
     most_arriving : float
-        Copies that may be on their way to a replica: its link takes one after
-        the other.
+        Maximum number of copies in transfer to a replica before the next one; its network
+        link receives them one after the other.
     near_enough : float
-        Up to which cost a replica of the own zone is taken whatever others cost.
+        Load up to which a replica in the own zone is preferred over replicas in other zones,
+        whatever their load.
     """
 
     full: float
@@ -39,21 +40,22 @@
     near_enough: float = 0.0
 
 
-# Requests need less than they are promised until they end, so that more than
-# the whole may be promised. Another zone may be cut off at any moment.
-# Where a replica of the own zone would begin in time all the same, it is taken: at 0.9
-# with two usual prompts to be read before. A quarter and more of the requests would run in
-# another zone else.
+# A request uses less memory than is reserved for it until it ends, so slightly more than the
+# whole memory may be reserved. Another zone may become unreachable at any time.
+# A replica in the own zone is used as long as the request still starts in time there: at a
+# load of 0.9, about two prompts of common length are processed first. Without this rule, more
+# than a quarter of the requests run in another zone.
 REQUEST = Terms(full=1.05, far=0.25, measure=Measure.PROMISED, near_enough=0.9)
-# Who may wait for room gets it where it will very likely end without another being pushed
-# out: engines read anew what they push out.
+# A request that can wait in the queue starts only where it very likely ends without a
+# preemption: engines process the prompts of preempted requests again.
 IN_LINE = Terms(full=1.0, far=0.25, measure=Measure.PROMISED, near_enough=0.9)
-# A copy takes only what nobody else uses, and gives it back. To another zone
-# it takes twice as long. One at a time, so that no rescue waits behind many.
+# A copy takes only unused memory and releases it on demand. A transfer to another zone takes
+# twice as long. A replica receives one copy at a time, so that a rescued generation does not
+# wait behind many transfers.
 COPY = Terms(full=0.85, far=0.15, measure=Measure.USED_AND_COPIES, most_arriving=0)
-# Where a generation runs in another zone, its copy should be in this one: it
-# is what goes on when the zones are cut off from each other.
+# The copy of a generation that runs in another zone belongs in the own zone: the generation
+# continues from it when the zones are disconnected from each other.
 COPY_HOME = Terms(full=0.85, far=0.6, measure=Measure.USED_AND_COPIES, most_arriving=0)
-# Nothing is worse than to lose a generation: any room will do, and copies of
-# those that stay give way.
+# Losing a generation is the worst outcome, so any free memory is used, and copies of
+# generations whose replica stays are dropped for it.
 RESCUE = Terms(full=1.0, far=0.15, measure=Measure.USED)
