--- a/reachlink/requests/_answer_body.py
+++ b/reachlink/requests/_answer_body.py
@@ -7,16 +7,16 @@
 from reachlink.upstreams import RelayAnswer, UpstreamBrokenError
 
 # A whole answer larger than this, in bytes, is not held to be checked.
-MAX_WHOLE_BYTES = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 # How often an answer looks whether the instance has room for it, in seconds.
-ROOM_LOOK_S = 0.02
+BUFFER_POLL_INTERVAL_S = 0.02
 
 
 async def read_whole(
     answer: RelayAnswer,
     held: Holding | None = None,
     on_wait: Callable[[], None] = lambda: None,
-    kept: int = 0,
+    previous_bytes: int = 0,
 ) -> bytes:
     """Return the whole body of an answer.
 
@@ -38,18 +38,18 @@
     """
     pieces: list[bytes] = []
     size = 0
-    room = _Room(held, on_wait, kept)
-    await room.reach(min(answer.head.length, MAX_WHOLE_BYTES))
+    room = _BufferReservation(held, on_wait, previous_bytes)
+    await room.reach(min(answer.head.length, MAX_BODY_BYTES))
     while data := await answer.read():
         pieces.append(data)
         size += len(data)
-        if size > MAX_WHOLE_BYTES:
+        if size > MAX_BODY_BYTES:
             raise UpstreamBrokenError("the answer is too long")
         await room.reach(size)
     return b"".join(pieces)
 
 
-class _Room:
+class _BufferReservation:
     """Room for one answer, taken as it comes in.
 
     Parameters
@@ -62,13 +62,15 @@
         Bytes of an answer before this one that is kept beside it.
     """
 
-    def __init__(self, held: Holding | None, on_wait: Callable[[], None], kept: int) -> None:
+    def __init__(
+        self, held: Holding | None, on_wait: Callable[[], None], previous_bytes: int
+    ) -> None:
         self._held = held
         self._on_wait = on_wait
         self._size = 0
         if held is not None:
             # An answer before this one was not given.
-            held.note(HeldKind.ANSWER, kept)
+            held.note(HeldKind.ANSWER, previous_bytes)
 
     async def reach(self, size: int) -> None:
         """Return when there is room for so many bytes in all."""
@@ -79,5 +81,5 @@
             raise UpstreamBrokenError("the answer is too long for what one caller may hold")
         while not self._held.take(HeldKind.ANSWER, more):
             self._on_wait()
-            await asyncio.sleep(ROOM_LOOK_S)
+            await asyncio.sleep(BUFFER_POLL_INTERVAL_S)
         self._size = size
--- a/reachlink/requests/_attempts.py
+++ b/reachlink/requests/_attempts.py
@@ -23,22 +23,22 @@
 
 
 # The replica may get the request a little later.
-HELD_BACK = frozenset({Setback.BACKOFF, Setback.LIMITED})
-_NEVER_RAN = HELD_BACK | {Setback.UNREACHABLE, Setback.GONE, Setback.NOT_RUN}
+_PACED = frozenset({Setback.BACKOFF, Setback.LIMITED})
+_DID_NOT_RUN = _PACED | {Setback.UNREACHABLE, Setback.GONE, Setback.NOT_RUN}
 # The replica that was meant did not get the request.
-_NOT_SENT = HELD_BACK | {Setback.UNREACHABLE, Setback.GONE}
+_NOT_SENT = _PACED | {Setback.UNREACHABLE, Setback.GONE}
 # Nor did any other: another attempt is no repeat.
-NO_REPEAT = HELD_BACK | {Setback.UNREACHABLE}
+BUDGET_EXEMPT = _PACED | {Setback.UNREACHABLE}
 
 
 @singledispatch
-def held_back(error: UpstreamHeldBackError) -> Setback:
+def pacing_failure(error: UpstreamHeldBackError) -> Setback:
     """Return what it means that a replica may get nothing now."""
     return Setback.BACKOFF
 
 
-@held_back.register
-def _limited(error: UpstreamLimitedError) -> Setback:
+@pacing_failure.register
+def _rate_limit_failure(error: UpstreamLimitedError) -> Setback:
     return Setback.LIMITED
 
 
@@ -76,7 +76,7 @@
         self.reason = setback.value
         if setback not in _NOT_SENT:
             self.sent += 1
-        if setback not in _NEVER_RAN:
+        if setback not in _DID_NOT_RUN:
             self.may_have_run = True
 
     def may_go_on(self) -> bool:
--- a/reachlink/requests/_dispatch.py
+++ b/reachlink/requests/_dispatch.py
@@ -26,7 +26,7 @@
 # How long a stream that has lost its replica waits for its permit at the one with its copy, in
 # seconds: callers leave after two seconds of silence, of which 0.8 may have
 # passed before the loss was noticed.
-PERMIT_BORNE_S = 1.0
+CONTINUATION_PERMIT_WAIT_S = 1.0
 
 
 class Dispatch:
@@ -109,9 +109,9 @@
         if full is None:
             return None
         excluded = tried | full
-        spared = self._spared(request, excluded)
-        if spared:
-            replica = await self._timely.place_or_wait(request, excluded | spared)
+        refusing = self._likely_to_refuse(request, excluded)
+        if refusing:
+            replica = await self._timely.place_or_wait(request, excluded | refusing)
             if replica is not None:
                 return replica
         return await self._timely.place_or_wait(request, excluded)
@@ -139,26 +139,26 @@
             service=request.service.name,
         )
 
-    def _spared(self, request: CallerRequest, tried: set[str]) -> set[str]:
+    def _likely_to_refuse(self, request: CallerRequest, tried: set[str]) -> set[str]:
         """Return the replicas that would likely refuse a request, which could not be repeated."""
-        if self._parts.pacing.refusals.is_empty or self._tries.may_repeat(request.service):
+        if self._parts.pacing.refusals.is_empty or self._tries.has_retry_left(request.service):
             return set()
         return self._placing.refusing(request, tried)
 
     async def wait_for_permit(self, request: CallerRequest, replica: Replica) -> bool:
         """Return whether a replica may get a request, after a wait that callers bear."""
-        left_s = self.held_left_s(replica)
-        if left_s > PERMIT_BORNE_S:
+        left_s = self.remaining_hold_s(replica)
+        if left_s > CONTINUATION_PERMIT_WAIT_S:
             return False
         await asyncio.sleep(left_s)
         try:
-            await self._parts.admit(replica.address, PERMIT_BORNE_S - left_s)
+            await self._parts.admit(replica.address, CONTINUATION_PERMIT_WAIT_S - left_s)
         except UpstreamHeldBackError:
             return False
         request.relay.admitted = True
         return True
 
-    def held_left_s(self, replica: Replica) -> float:
+    def remaining_hold_s(self, replica: Replica) -> float:
         """Return how long a replica may get nothing by what it has asked for, in seconds."""
         return self._parts.pacing.left_s(replica.address, self.now())
 
@@ -193,7 +193,7 @@
             parts.pacing.refusals.note_taken(replica.address, sent_at)
         if answer.head.load is not None:
             self._pace.note_load(replica, answer.head.load, now)
-        self._outcomes.note_leaving(replica, answer.head, now)
+        self._outcomes.record_leaving(replica, answer.head, now)
         return answer
 
     async def _touch(self, replica: Replica) -> None:
--- a/reachlink/requests/_outcomes.py
+++ b/reachlink/requests/_outcomes.py
@@ -32,26 +32,28 @@
         self._guard = guard
         self._log: Any = get_logger()
 
-    def succeeded(self, request: CallerRequest, replica: Replica) -> None:
+    def record_success(self, request: CallerRequest, replica: Replica) -> None:
         """Note that a replica delivered."""
-        self._note_outcome(ReplicaOutcome(replica.name, good=True))
+        self._record_outcome(ReplicaOutcome(replica.name, good=True))
         self._guard.on_answer(request.relay.fingerprint)
 
-    def answered_failure(self, request: CallerRequest, replica: Replica) -> None:
+    def record_failed_answer(self, request: CallerRequest, replica: Replica) -> None:
         """Note that a replica answered that a request has failed."""
-        self._note_outcome(ReplicaOutcome(replica.name, good=False))
+        self._record_outcome(ReplicaOutcome(replica.name, good=False))
         self._guard.on_answer(request.relay.fingerprint)
 
-    def distrust(self, replica: Replica) -> None:
+    def record_no_answer(self, replica: Replica) -> None:
         """Note that a replica gave no answer, or none that counts."""
-        self._note_outcome(ReplicaOutcome(replica.name, good=False, answered=False))
+        self._record_outcome(ReplicaOutcome(replica.name, good=False, answered=False))
 
-    def unreachable(self, replica: Replica) -> None:
+    def record_unreachable(self, replica: Replica) -> None:
         """Note that no connection to a replica could be made."""
-        self.distrust(replica)
+        self.record_no_answer(replica)
         self._placing.reachable.note_unreachable(replica)
 
-    def broken(self, request: CallerRequest, replica: Replica, sent_at: float, begun: bool) -> None:
+    def record_broken(
+        self, request: CallerRequest, replica: Replica, sent_at: float, begun: bool
+    ) -> None:
         """Note that the connection to a replica ended before a request's answer did.
 
         Parameters
@@ -65,7 +67,7 @@
         begun : bool
             Whether a part of the answer had come.
         """
-        self.distrust(replica)
+        self.record_no_answer(replica)
         run = BrokenRun(
             request.request_id,
             request.relay.fingerprint,
@@ -76,7 +78,7 @@
         )
         self._guard.on_broken(run)
 
-    def refused(self, replica: Replica, head: AnswerHead, sent_at: float) -> Setback:
+    def record_refusal(self, replica: Replica, head: AnswerHead, sent_at: float) -> Setback:
         """Return what it means that a replica did not run a request, and note it.
 
         Parameters
@@ -89,7 +91,7 @@
             When the request was sent there, in monotonic seconds.
         """
         if not head.misdirected:
-            self._note_refused(replica, sent_at)
+            self._record_refusal(replica, sent_at)
             return Setback.NOT_RUN
         # Replicas come back under other names while the list still has those before: one
         # request after the other would be sent to these, and refused.
@@ -98,7 +100,7 @@
             self._parts.on_gone(replica.name)
         return Setback.GONE
 
-    def note_leaving(self, replica: Replica, head: AnswerHead, now: float) -> None:
+    def record_leaving(self, replica: Replica, head: AnswerHead, now: float) -> None:
         """Note that a replica says that it leaves, or closes its connections as those do."""
         if head.misdirected or not (head.leaving or head.closing):
             return
@@ -108,7 +110,7 @@
             self._log.info("upstream_leaving", replica=replica.name, source=source.value)
             parts.on_leaving(replica.name, head.leaving)
 
-    def _note_refused(self, replica: Replica, sent_at: float) -> None:
+    def _record_refusal(self, replica: Replica, sent_at: float) -> None:
         """Note a refusal of a replica that has not said for how long it wants nothing."""
         pacing, now = self._parts.pacing, self._parts.clock()
         if pacing.backoffs.left_s(replica.address, now):
@@ -116,7 +118,7 @@
         wait_s = pacing.refusals.note_refused(replica.address, sent_at, now)
         self._log.info("replica_refuses", replica=replica.name, wait_s=round(wait_s, 3))
 
-    def _note_outcome(self, outcome: ReplicaOutcome) -> None:
+    def _record_outcome(self, outcome: ReplicaOutcome) -> None:
         parts = self._parts
         parts.book.note_outcome(outcome, parts.clock(), parts.random)
         parts.book.keep_outcome(outcome)
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -19,7 +19,7 @@
 from reachlink.upstreams import RelayAdapter, Replica
 
 
-async def admit_at_once(address: str, patience_s: float) -> None:
+async def admit_immediately(address: str, patience_s: float) -> None:
     """Let a request go: no replica has a limit."""
 
 
@@ -154,5 +154,5 @@
     deciders: Callable[[], Deciders] = lambda: Deciders("", ("",))
     quarantine: Quarantine = field(default_factory=lambda: Quarantine(Random()))
     pacing: PacingBook = field(default_factory=lambda: PacingBook(Random()))
-    admit: Callable[[str, float], Awaitable[None]] = admit_at_once
+    admit: Callable[[str, float], Awaitable[None]] = admit_immediately
     scheduling: SchedulingSettings = SchedulingSettings()
--- a/reachlink/requests/_patience.py
+++ b/reachlink/requests/_patience.py
@@ -4,15 +4,15 @@
 
 # How long a request waits for room, as a share of its objective: a refusal
 # after that would come too late for another attempt in time.
-WAIT_SHARE = 0.22
+ROOM_WAIT_SHARE = 0.22
 # How often it looks for room meanwhile, in seconds.
 WAIT_STEP_S = 0.02
 # The same where its replicas are all held back by what they have asked for: up to there it may
 # still be answered in time, as what it waits for is known and short. Beyond, who is told
 # the exact time at once may meet another instance, which was not asked for a backoff.
-BACKOFF_WAIT_SHARE = 0.5
+PACING_WAIT_SHARE = 0.5
 # How often such a one looks for a replica that is not, in seconds.
-BACKOFF_LOOK_S = 0.1
+PACING_POLL_INTERVAL_S = 0.1
 # How long a request waits for the first list of replicas, in seconds, and as a share of what
 # its caller waits in all: the rest is for the request itself, or for another attempt.
 FIRST_LIST_WAIT_S = 1.0
@@ -24,18 +24,18 @@
 
 def may_wait_for_room(request: CallerRequest, now: float) -> bool:
     """Return whether a request may wait for room still, at a monotonic time in seconds."""
-    return now < request.arrived_at + request.route.objective_s * WAIT_SHARE
+    return now < request.arrived_at + request.route.objective_s * ROOM_WAIT_SHARE
 
 
 def first_list_until(request: CallerRequest) -> float:
     """Return until when a request may wait for the first list, in monotonic seconds."""
-    has_s = request.give_up_at - request.arrived_at
-    return request.arrived_at + min(FIRST_LIST_WAIT_S, has_s * FIRST_LIST_WAIT_SHARE)
+    total_s = request.give_up_at - request.arrived_at
+    return request.arrived_at + min(FIRST_LIST_WAIT_S, total_s * FIRST_LIST_WAIT_SHARE)
 
 
 def permit_patience_s(request: CallerRequest, now: float) -> float:
     """Return how long a request may wait for its permit at a replica, in seconds; 0 for not."""
-    until = request.arrived_at + request.route.objective_s * BACKOFF_WAIT_SHARE
+    until = request.arrived_at + request.route.objective_s * PACING_WAIT_SHARE
     return max(0.0, until - now)
 
 
@@ -61,4 +61,4 @@
         return WAIT_STEP_S if may_wait_for_room(request, now) else None
     if held_s >= permit_patience_s(request, now):
         return None
-    return max(WAIT_STEP_S, min(held_s, BACKOFF_LOOK_S))
+    return max(WAIT_STEP_S, min(held_s, PACING_POLL_INTERVAL_S))
--- a/reachlink/requests/_shadow.py
+++ b/reachlink/requests/_shadow.py
@@ -17,10 +17,10 @@
 
 # Pause between two copies, in seconds: each brings only what is new, and what
 # is missing at the end is read anew.
-REFRESH_S = 1.0
+REFRESH_INTERVAL_S = 1.0
 # The same where the generation's replica is about to be taken away: some
 # thirty tokens are missing then, which are read within the pause of a step.
-LAST_REFRESH_S = 0.3
+FAST_REFRESH_INTERVAL_S = 0.3
 
 
 class Shadow:
@@ -122,15 +122,15 @@
         if self._abandoned:
             return
         if self._hurried.is_set():
-            await asyncio.sleep(LAST_REFRESH_S)
+            await asyncio.sleep(FAST_REFRESH_INTERVAL_S)
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(REFRESH_S):
+            async with asyncio.timeout(REFRESH_INTERVAL_S):
                 await self._hurried.wait()
 
     async def _copy(self) -> bool:
         began_at = self._clock()
-        result = await self._order()
+        result = await self._request_move()
         if result is None:
             return True
         if not result.arrived:
@@ -154,7 +154,7 @@
         self._memory = result.memory
         return True
 
-    async def _order(self) -> MoveResult | None:
+    async def _request_move(self) -> MoveResult | None:
         """Order a move; None where the source is in backoff: it runs on."""
         self._under_way = True
         try:
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -9,7 +9,7 @@
 
 from reachlink.quarantine import HELD, HeldRequestError
 from reachlink.requests._answer_body import read_whole
-from reachlink.requests._attempts import Setback, held_back
+from reachlink.requests._attempts import Setback, pacing_failure
 from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._generation_places import GenerationPlaces
 from reachlink.requests._joint import Joint
@@ -31,10 +31,10 @@
 
 # A replica that gives no event for this long, in seconds, is taken for lost:
 # well above what reading other prompts takes, below what callers bear.
-SILENCE_S = 0.8
+MAX_SILENCE_S = 0.8
 # A caller that takes an event at once takes it sooner than this, in seconds; one that does not
 # decides itself when the next are read.
-TAKEN_AT_ONCE_S = 0.005
+SLOW_WRITE_S = 0.005
 
 
 class StreamRunner:
@@ -78,16 +78,16 @@
         self._times = StreamTimes(request.arrived_at)
         self._rhythm = StreamRhythm()
         # Whether its home had prompts to read as the last look at the rhythm ended.
-        self._read_beside = True
+        self._had_unread_prompts = True
         self._moves = 0
         # Whether no event has come since the last move.
-        self._moved = False
+        self._no_event_since_move = False
         # When the request was sent to its present home, in monotonic seconds, and how
         # many events had come by then.
         self._sent_at = 0.0
-        self._last_when_sent = -1
+        self._last_event_when_sent = -1
         # Whether the caller has the head of the answer.
-        self._begun = False
+        self._head_sent = False
 
     async def start(self, replica: Replica) -> Setback | None:
         """Begin at a replica and follow to the end; return why it did not begin, if so."""
@@ -95,17 +95,17 @@
         fingerprint = self._request.relay.fingerprint
         try:
             await self._places.begin(replica)
-            async with self._dispatch.guard.watched(fingerprint, self._nothing_given):
+            async with self._dispatch.guard.watched(fingerprint, self._has_given_no_event):
                 return await self._run()
         except HeldRequestError as error:
-            if self._begun:
+            if self._head_sent:
                 raise StreamCutError(HELD) from error
             raise
         finally:
             watch.cancel()
             self._places.leave()
 
-    def _nothing_given(self) -> bool:
+    def _has_given_no_event(self) -> bool:
         """Return whether the caller has no event yet."""
         return self._joint.last < 0
 
@@ -113,14 +113,14 @@
         try:
             answer = await self._open(self._places.home, None)
         except UpstreamHeldBackError as error:
-            return held_back(error)
+            return pacing_failure(error)
         except UpstreamUnreachableError:
             return Setback.UNREACHABLE
         except UpstreamBrokenError:
             return Setback.BROKEN
         try:
             if answer.head.not_run:
-                return self._dispatch.outcomes.refused(
+                return self._dispatch.outcomes.record_refusal(
                     self._places.home, answer.head, self._sent_at
                 )
             if answer.head.success and not answer.head.genuine:
@@ -128,30 +128,30 @@
             if not answer.head.success:
                 await self._sink.whole(answer.head, await self._read_whole(answer))
                 return None
-            self._begun = True
+            self._head_sent = True
             await self._sink.begin(answer.head)
-            ended = await self._follow(answer)
+            ended = await self._relay_events(answer)
         finally:
             answer.close()
         while not ended:
-            ended = await self._go_on()
+            ended = await self._continue()
         await self._sink.end()
         self._log_delivered()
         return None
 
-    async def _go_on(self) -> bool:
+    async def _continue(self) -> bool:
         """Continue where the generation's memory is; return whether the stream ended."""
         options = await self._places.continuations()
-        options.sort(key=lambda option: self._dispatch.held_left_s(option[0]))
+        options.sort(key=lambda option: self._dispatch.remaining_hold_s(option[0]))
         for target, memory in options:
             if not await self._dispatch.wait_for_permit(self._request, target):
-                self._log_stuck(target, "held back")
+                self._log_continuation_failed(target, "held back")
                 continue
             answer = await self._continue_at(target, memory)
             if answer is None:
                 continue
             try:
-                return await self._follow(answer)
+                return await self._relay_events(answer)
             finally:
                 answer.close()
         raise StreamCutError("no_copy_left")
@@ -160,8 +160,8 @@
         """Ask a replica to go on; return None where it cannot."""
         lost = await self._places.move_to(target)
         self._moves += 1
-        self._moved = True
-        self._look_anew()
+        self._no_event_since_move = True
+        self._reset_rhythm()
         self._dispatch.log.info(
             "stream_continues",
             request_id=self._request.request_id,
@@ -174,15 +174,15 @@
         try:
             answer = await self._open(target, Continuation(self._joint.last, memory))
         except UpstreamError as error:
-            self._log_stuck(target, str(error))
+            self._log_continuation_failed(target, str(error))
             return None
         if not answer.head.success:
             answer.close()
-            self._log_stuck(target, f"status {answer.head.status}")
+            self._log_continuation_failed(target, f"status {answer.head.status}")
             return None
         return answer
 
-    def _log_stuck(self, target: Replica, reason: str) -> None:
+    def _log_continuation_failed(self, target: Replica, reason: str) -> None:
         self._dispatch.log.warning(
             "continuation_failed",
             request_id=self._request.request_id,
@@ -190,7 +190,7 @@
             reason=reason,
         )
 
-    async def _follow(self, answer: RelayAnswer) -> bool:
+    async def _relay_events(self, answer: RelayAnswer) -> bool:
         """Give events on until the answer ends; return whether it ended well."""
         splitter = EventSplitter()
         try:
@@ -200,7 +200,7 @@
                     self._places.note_prompt_read()
                     self._places.note_progress()
                     self._note_pause()
-                    await self._give(ready)
+                    await self._write(ready)
         except (UpstreamBrokenError, ValueError) as error:
             self._on_broken(str(error))
             return False
@@ -209,19 +209,19 @@
         if splitter.rest:
             self._on_broken("the last event is not whole")
             return False
-        self._dispatch.outcomes.succeeded(self._request, self._places.home)
+        self._dispatch.outcomes.record_success(self._request, self._places.home)
         return True
 
-    async def _give(self, ready: bytes) -> None:
+    async def _write(self, ready: bytes) -> None:
         """Give events to the caller; where it keeps them waiting, that shows no pace."""
         given_at = self._dispatch.now()
         await self._sink.write(ready)
-        if self._dispatch.now() - given_at >= TAKEN_AT_ONCE_S:
-            self._look_anew()
+        if self._dispatch.now() - given_at >= SLOW_WRITE_S:
+            self._reset_rhythm()
 
-    def _look_anew(self) -> None:
+    def _reset_rhythm(self) -> None:
         """Forget the look at the rhythm, and the next one: what was held up comes at once."""
-        self._read_beside = True
+        self._had_unread_prompts = True
         self._rhythm.begin_again()
 
     async def _read(self, answer: RelayAnswer) -> bytes:
@@ -229,17 +229,17 @@
         if self._joint.last < 0 or not self._places.has_copy:
             return await answer.read()
         try:
-            async with asyncio.timeout(SILENCE_S):
+            async with asyncio.timeout(MAX_SILENCE_S):
                 return await answer.read()
         except TimeoutError as error:
-            raise UpstreamBrokenError(f"silent for {SILENCE_S} s") from error
+            raise UpstreamBrokenError(f"silent for {MAX_SILENCE_S} s") from error
 
     async def _read_whole(self, answer: RelayAnswer) -> bytes:
         return await read_whole(answer, self._request.held)
 
     async def _open(self, replica: Replica, continuation: Continuation | None) -> RelayAnswer:
         self._sent_at = self._dispatch.now()
-        self._last_when_sent = self._joint.last
+        self._last_event_when_sent = self._joint.last
         try:
             return await self._dispatch.open(
                 self._request, replica, continuation, self._places.backup
@@ -247,15 +247,15 @@
         except UpstreamHeldBackError:
             raise
         except UpstreamUnreachableError:
-            self._dispatch.outcomes.unreachable(replica)
+            self._dispatch.outcomes.record_unreachable(replica)
             raise
         except UpstreamError:
             self._note_broken(replica)
             raise
 
     def _note_broken(self, replica: Replica) -> None:
-        begun = self._joint.last > self._last_when_sent
-        self._dispatch.outcomes.broken(self._request, replica, self._sent_at, begun)
+        begun = self._joint.last > self._last_event_when_sent
+        self._dispatch.outcomes.record_broken(self._request, replica, self._sent_at, begun)
 
     def _note_pause(self) -> None:
         """Log a pause between events that is longer than the route promises."""
@@ -264,9 +264,9 @@
         event_s = self._rhythm.note(self._joint.last, now)
         if event_s is not None:
             self._note_rhythm(event_s)
-        if self._moved:
-            self._moved = False
-            self._log_joined(pause)
+        if self._no_event_since_move:
+            self._no_event_since_move = False
+            self._log_stream_joined(pause)
         longest = self._request.route.event_gap_s
         if not longest or pause <= longest:
             return
@@ -281,11 +281,14 @@
     def _note_rhythm(self, event_s: float) -> None:
         """Note the time between two events where no prompt was read since the look began."""
         home = self._places.home
-        read_before, self._read_beside = self._read_beside, self._dispatch.pace.reads_beside(home)
-        if not read_before and not self._read_beside:
+        read_before, self._had_unread_prompts = (
+            self._had_unread_prompts,
+            self._dispatch.pace.reads_beside(home),
+        )
+        if not read_before and not self._had_unread_prompts:
             self._dispatch.pace.note_rhythm(self._request, home, event_s)
 
-    def _log_joined(self, pause_s: float) -> None:
+    def _log_stream_joined(self, pause_s: float) -> None:
         self._dispatch.log.info(
             "stream_joined",
             request_id=self._request.request_id,
--- a/reachlink/requests/_tries.py
+++ b/reachlink/requests/_tries.py
@@ -5,7 +5,7 @@
 from reachlink.delivery import Outcome
 from reachlink.limits import RetryBudget
 from reachlink.pacing import HoldReason
-from reachlink.requests._attempts import NO_REPEAT, AttemptLog, Setback
+from reachlink.requests._attempts import BUDGET_EXEMPT, AttemptLog, Setback
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._obstacles import ELSEWHERE_AFTER_S
 from reachlink.requests._parts import RunnerParts
@@ -43,7 +43,7 @@
         self._budget(request.service).on_first_attempt(self._parts.retries.share)
         return AttemptLog(request.route.may_repeat, request.route.max_attempts)
 
-    def may_repeat(self, service: Service) -> bool:
+    def has_retry_left(self, service: Service) -> bool:
         """Return whether a request of a service could be sent once more."""
         return self._budget(service).has_one
 
@@ -67,7 +67,7 @@
         )
         if not attempts.may_go_on():
             return False
-        if setback in NO_REPEAT or self._budget(request.service).take():
+        if setback in BUDGET_EXEMPT or self._budget(request.service).take():
             return True
         attempts.reason = f"{setback.value}_no_budget"
         return False
--- a/reachlink/requests/_whole.py
+++ b/reachlink/requests/_whole.py
@@ -4,7 +4,7 @@
 
 from reachlink.limits import HeldKind
 from reachlink.requests._answer_body import read_whole
-from reachlink.requests._attempts import AttemptLog, Setback, held_back
+from reachlink.requests._attempts import AttemptLog, Setback, pacing_failure
 from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._model import AnswerSink, CallerRequest
 from reachlink.upstreams import (
@@ -38,20 +38,20 @@
         """Carry one request to its end."""
         attempts = self._dispatch.tries.begin(request)
         tried: set[str] = set()
-        held: tuple[AnswerHead, bytes] | None = None
+        fallback: tuple[AnswerHead, bytes] | None = None
         while (replica := await self._dispatch.place_or_wait(request, tried)) is not None:
             tried.add(replica.name)
             flight = self._dispatch.flights.add(request, replica)
             try:
-                kept = len(held[1]) if held is not None else 0
-                result = await self._ask(request, replica, attempts, kept)
+                previous_bytes = len(fallback[1]) if fallback is not None else 0
+                result = await self._attempt(request, replica, attempts, previous_bytes)
             finally:
                 self._dispatch.flights.remove(replica, flight)
             if isinstance(result, tuple):
                 # Given to the caller where no other replica has a better answer.
-                held = result
-                _count_kept(request, held[1])
-                if held[0].status < SERVER_ERROR or not request.route.may_repeat:
+                fallback = result
+                _record_buffered(request, fallback[1])
+                if fallback[0].status < SERVER_ERROR or not request.route.may_repeat:
                     break
                 result = Setback.FAILED
             if result is Setback.LIMITED:
@@ -59,64 +59,64 @@
                 tried.discard(replica.name)
             if not self._dispatch.tries.may_retry(request, replica, result, attempts):
                 break
-        if held is not None:
-            await sink.whole(*held)
+        if fallback is not None:
+            await sink.whole(*fallback)
             return
         raise self._dispatch.tries.failure(request, attempts)
 
-    async def _ask(
-        self, request: CallerRequest, replica: Replica, attempts: AttemptLog, kept: int
+    async def _attempt(
+        self, request: CallerRequest, replica: Replica, attempts: AttemptLog, previous_bytes: int
     ) -> tuple[AnswerHead, bytes] | Setback:
         """Return the whole answer of one replica, or why there is none.
 
         The failure of one before is kept meanwhile, of so many bytes.
         """
         fingerprint = request.relay.fingerprint
-        more = attempts.may_repeat and attempts.sent + 1 < attempts.max_attempts
-        patience = request.route.objective_s * PATIENCE_OBJECTIVES if more else None
+        may_retry = attempts.may_repeat and attempts.sent + 1 < attempts.max_attempts
+        timeout_s = request.route.objective_s * PATIENCE_OBJECTIVES if may_retry else None
         sent_at = self._dispatch.now()
         try:
             async with (
                 self._dispatch.guard.watched(fingerprint),
-                asyncio.timeout(patience) as scope,
+                asyncio.timeout(timeout_s) as scope,
             ):
                 answer = await self._dispatch.open(request, replica)
                 if answer.head.not_run:
                     answer.close()
-                    return self._dispatch.outcomes.refused(replica, answer.head, sent_at)
-                wait = _RoomWait(scope)
-                body = await read_whole(answer, request.held, wait.begin, kept)
+                    return self._dispatch.outcomes.record_refusal(replica, answer.head, sent_at)
+                wait = _BufferWait(scope)
+                body = await read_whole(answer, request.held, wait.begin, previous_bytes)
         except UpstreamHeldBackError as error:
-            return held_back(error)
+            return pacing_failure(error)
         except UpstreamUnreachableError:
-            self._dispatch.outcomes.unreachable(replica)
+            self._dispatch.outcomes.record_unreachable(replica)
             return Setback.UNREACHABLE
         except UpstreamBrokenError:
-            self._dispatch.outcomes.broken(request, replica, sent_at, begun=False)
+            self._dispatch.outcomes.record_broken(request, replica, sent_at, begun=False)
             return Setback.BROKEN
         except TimeoutError:
-            self._dispatch.outcomes.distrust(replica)
+            self._dispatch.outcomes.record_no_answer(replica)
             self._dispatch.pace.note_call(request, replica, sent_at)
             return Setback.SLOW
         if answer.head.success and not answer.head.genuine:
-            self._dispatch.outcomes.distrust(replica)
+            self._dispatch.outcomes.record_no_answer(replica)
             return Setback.BROKEN
         if answer.head.status >= SERVER_ERROR:
-            self._dispatch.outcomes.answered_failure(request, replica)
+            self._dispatch.outcomes.record_failed_answer(request, replica)
         else:
-            self._dispatch.outcomes.succeeded(request, replica)
+            self._dispatch.outcomes.record_success(request, replica)
             if not wait.begun:
                 self._dispatch.pace.note_call(request, replica, sent_at)
         return answer.head, body
 
 
-def _count_kept(request: CallerRequest, body: bytes) -> None:
+def _record_buffered(request: CallerRequest, body: bytes) -> None:
     """Count an answer that is kept: one before it is kept no longer."""
     if request.held is not None:
         request.held.note(HeldKind.ANSWER, len(body))
 
 
-class _RoomWait:
+class _BufferWait:
     """The wait of an answer for room here, which is no slowness of its replica.
 
     Parameters
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -128,7 +128,7 @@
 
 
 def test_a_stream_whose_copy_is_in_backoff_for_longer_than_callers_bear_is_cut():
-    made = interrupted(dispatch.PERMIT_BORNE_S + LONG_S)
+    made = interrupted(dispatch.CONTINUATION_PERMIT_WAIT_S + LONG_S)
     with pytest.raises(StreamCutError):
         asyncio.run(made.run(RequestKind.STREAM))
     assert len(made.adapter.sent) == 1
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -148,7 +148,7 @@
 
 
 def test_a_silent_replica_is_left_for_the_copy(monkeypatch):
-    monkeypatch.setattr("reachlink.requests._streams.SILENCE_S", 0.05)
+    monkeypatch.setattr("reachlink.requests._streams.MAX_SILENCE_S", 0.05)
 
     async def silent(sent):
         if sent.continuation is None:
--- a/reachlink/requests/tests/test_patience.py
+++ b/reachlink/requests/tests/test_patience.py
@@ -34,4 +34,7 @@
     request = world().request(RequestKind.STREAM)
     pause_s = patience.pause_before_look(request, request.arrived_at, 0.06)
     assert pause_s == 0.06
-    assert patience.pause_before_look(request, request.arrived_at, 0.4) == patience.BACKOFF_LOOK_S
+    assert (
+        patience.pause_before_look(request, request.arrived_at, 0.4)
+        == patience.PACING_POLL_INTERVAL_S
+    )
