--- a/reachlink/coordination/_kept_line.py
+++ b/reachlink/coordination/_kept_line.py
@@ -32,11 +32,11 @@
     """The line of one service, with the questions of those that wait."""
 
     service: str
-    line: Line = field(default_factory=Line)
-    held: dict[str, HeldQuestion] = field(default_factory=dict)
+    requests: Line = field(default_factory=Line)
+    held_queries: dict[str, HeldQuestion] = field(default_factory=dict)
     # Those that have arrived, by their names: what was asked first, and what they had been
     # promised when they were refused before.
-    arrived: dict[str, tuple[PlaceQuestion, Promise | None]] = field(default_factory=dict)
+    arrivals: dict[str, tuple[PlaceQuestion, Promise | None]] = field(default_factory=dict)
     unfit: UnfitCache = field(default_factory=UnfitCache)
 
     def answer_without_place(self, request_id: str, otherwise: Wait | Refuse) -> None:
@@ -45,6 +45,6 @@
 
     def answer(self, request_id: str, answer: PlaceAnswer) -> None:
         """Answer a held question, if there is one."""
-        held = self.held.pop(request_id, None)
+        held = self.held_queries.pop(request_id, None)
         if held is not None and not held.answer.done():
             held.answer.set_result(answer)
--- a/reachlink/coordination/_line_asker.py
+++ b/reachlink/coordination/_line_asker.py
@@ -106,7 +106,7 @@
             return await self._ask_one(owner, question)
         if not self._settled():
             return PlaceAnswer(settled=False)
-        return await self._own.answer_own(question)
+        return await self._own.answer_local(question)
 
     def _owners(self, service: str) -> list[InstanceRecord]:
         now = self._clock()
@@ -117,7 +117,7 @@
     async def _queue_locally(self, question: PlaceQuestion) -> PlaceAnswer:
         if not question.hold_s:
             self._log.info("line_kept_alone", request_id=question.request_id)
-        return await self._own.answer_own(question)
+        return await self._own.answer_local(question)
 
     async def _ask_one(self, owner: InstanceRecord, question: PlaceQuestion) -> PlaceAnswer | None:
         try:
--- a/reachlink/coordination/_line_exchange.py
+++ b/reachlink/coordination/_line_exchange.py
@@ -41,13 +41,13 @@
 # Longest time that an answer is held, in seconds.
 MAX_HOLD_S = 1.0
 # How long a place is kept between two questions, in seconds.
-BETWEEN_S = 0.3
+LEASE_MARGIN_S = 0.3
 # How often room is looked for at the least and at the most, in seconds.
-LOOK_S = 0.05
-FASTEST_LOOK_S = 0.02
+MAX_SCAN_INTERVAL_S = 0.05
+MIN_SCAN_INTERVAL_S = 0.02
 # One that stands in line is refused where its wait will be so many times what it has: what
 # is forecast varies, and it has waited already.
-STAYS = 3.0
+HOPELESS_WAIT_FACTOR = 3.0
 
 
 class LineExchange:
@@ -100,9 +100,9 @@
         self._grants = LineGrants(
             name, placing, book, shared, directory, self._outcomes, clock, random
         )
-        self._kept: dict[str, KeptLine] = {}
+        self._queues: dict[str, KeptLine] = {}
         self._changed = asyncio.Event()
-        self._looking: asyncio.Task[None] | None = None
+        self._scan_task: asyncio.Task[None] | None = None
         book.listen(self.wake)
         self._log: Any = get_logger()
 
@@ -114,17 +114,17 @@
     @property
     def waiting(self) -> dict[str, int]:
         """How many requests stand in line, by service."""
-        return {name: len(kept.line) for name, kept in self._kept.items()}
+        return {name: len(queue.requests) for name, queue in self._queues.items()}
 
     @property
     def oldest_s(self) -> dict[str, float]:
         """How long the oldest of them has stood there, in seconds, by service."""
         now = self._clock()
-        return {name: kept.line.oldest_s(now) for name, kept in self._kept.items()}
+        return {name: queue.requests.oldest_s(now) for name, queue in self._queues.items()}
 
     def wake(self) -> None:
         """Take that there may be room: something has ended, or a replica has come."""
-        if self._looking is not None:
+        if self._scan_task is not None:
             self._changed.set()
 
     async def answer(self, question: PlaceQuestion) -> PlaceAnswer:
@@ -137,15 +137,15 @@
         """
         service = self._service(question.service)
         need = question.need
-        if service is None or need is None or not _ever_fits(service, need):
+        if service is None or need is None or not _fits_empty_replica(service, need):
             return PlaceAnswer(settled=True)
-        kept = self._kept.setdefault(service.name, KeptLine(service.name))
-        if kept.line.find(question.request_id) is None:
-            question, need = self._outcomes.arrived(kept, question)
-        begun = self._grants.begin_at_once(kept, service, question, need)
-        return begun or await self._stand(kept, service, question, need)
+        queue = self._queues.setdefault(service.name, KeptLine(service.name))
+        if queue.requests.find(question.request_id) is None:
+            question, need = self._outcomes.record_arrival(queue, question)
+        begun = self._grants.start_immediately(queue, service, question, need)
+        return begun or await self._enqueue(queue, service, question, need)
 
-    async def answer_own(self, question: PlaceQuestion) -> PlaceAnswer:
+    async def answer_local(self, question: PlaceQuestion) -> PlaceAnswer:
         """Return the same for a request of this instance."""
         try:
             answer = await self.answer(structs.replace(question, instance=self._name))
@@ -158,142 +158,146 @@
 
     def leave(self, service: str, request_id: str) -> None:
         """Take that a request is not asked for any more: its caller is gone."""
-        kept = self._kept.get(service)
-        if kept is None:
+        queue = self._queues.get(service)
+        if queue is None:
             return
-        waiting = kept.line.leave(request_id, self._clock())
+        waiting = queue.requests.leave(request_id, self._clock())
         if waiting is not None:
-            self._outcomes.left(kept, waiting, "gone")
-        kept.answer_without_place(request_id, Wait(0.0))
+            self._outcomes.record_left(queue, waiting, "gone")
+        queue.answer_without_place(request_id, Wait(0.0))
 
     def _service(self, name: str) -> Service | None:
         return next((s for s in self._services() if s.name == name), None)
 
-    async def _stand(
-        self, kept: KeptLine, service: Service, question: PlaceQuestion, need: Need
+    async def _enqueue(
+        self, queue: KeptLine, service: Service, question: PlaceQuestion, need: Need
     ) -> PlaceAnswer:
         now = self._clock()
         hold_s = min(question.hold_s or 0.0, MAX_HOLD_S)
-        known = kept.line.find(question.request_id) is not None
-        lease_s = hold_s + BETWEEN_S
-        waiting = kept.line.join(question.request_id, question.instance, need, now, lease_s)
-        self._make_room(kept, now)
-        if kept.line.find(question.request_id) is None:
-            return self._outcomes.refused(kept, waiting, RefusalReason.LINE_FULL, now)
-        start = self._start(kept, service, question, waiting, now)
+        known = queue.requests.find(question.request_id) is not None
+        lease_s = hold_s + LEASE_MARGIN_S
+        waiting = queue.requests.join(question.request_id, question.instance, need, now, lease_s)
+        self._shed_excess(queue, now)
+        if queue.requests.find(question.request_id) is None:
+            return self._outcomes.refuse(queue, waiting, RefusalReason.LINE_FULL, now)
+        start = self._forecast(queue, service, question, waiting, now)
         if isinstance(start, Begin):
-            replica = self._grants.take(kept, waiting, question, start.replica, now)
+            replica = self._grants.record_grant(queue, waiting, question, start.replica, now)
             if replica is not None:
                 return PlaceAnswer(settled=True, replica=replica)
-        if isinstance(start, Refuse) and (not known or self._is_hopeless(kept, waiting, now)):
-            answer = self._outcomes.refused(kept, waiting, start.reason, now)
-            kept.line.leave(waiting.request_id, now)
+        if isinstance(start, Refuse) and (not known or self._is_hopeless(queue, waiting, now)):
+            answer = self._outcomes.refuse(queue, waiting, start.reason, now)
+            queue.requests.leave(waiting.request_id, now)
             return answer
         if not known:
-            self._outcomes.joined(kept, waiting, now)
-        self._look_from_now_on()
+            self._outcomes.record_joined(queue, waiting, now)
+        self._start_scanning()
         if hold_s <= 0.0:
-            return self._wait_answer(kept, waiting, now)
-        return await self._hold(kept, question, waiting, hold_s)
+            return self._wait_answer(queue, waiting, now)
+        return await self._hold(queue, question, waiting, hold_s)
 
-    def _start(
+    def _forecast(
         self,
-        kept: KeptLine,
+        queue: KeptLine,
         service: Service,
         question: PlaceQuestion,
         waiting: Waiting,
         now: float,
     ) -> Start:
         """Return what is forecast for a request that stands in line."""
-        state = kept.line.state_before(waiting, now)
-        told = self._outcomes.told_tokens(kept.service, now)
+        state = queue.requests.state_before(waiting, now)
+        told = self._outcomes.told_tokens(queue.service, now)
         state = replace(state, told_tokens=told)
         asked = structs.replace(question, need=waiting.need_at(now))
         start = self._placing.start(service, asked, state)
         refused = isinstance(start, Refuse) and state.ahead > 0
-        if refused and self._grants.has_room(kept, service, asked, now):
+        if refused and self._grants.has_room(queue, service, asked, now):
             return Wait(expected_wait_s(waiting.need, state), state.ahead)
         return start
 
-    def _is_hopeless(self, kept: KeptLine, waiting: Waiting, now: float) -> bool:
+    def _is_hopeless(self, queue: KeptLine, waiting: Waiting, now: float) -> bool:
         """Return whether one that stands in line already will wait far beyond its time."""
-        state = kept.line.state_before(waiting, now)
-        return expected_wait_s(waiting.need, state) >= STAYS * (waiting.give_up_at - now)
+        state = queue.requests.state_before(waiting, now)
+        return expected_wait_s(waiting.need, state) >= HOPELESS_WAIT_FACTOR * (
+            waiting.give_up_at - now
+        )
 
     async def _hold(
-        self, kept: KeptLine, question: PlaceQuestion, waiting: Waiting, hold_s: float
+        self, queue: KeptLine, question: PlaceQuestion, waiting: Waiting, hold_s: float
     ) -> PlaceAnswer:
         """Return the answer once there is one, or that it waits yet."""
         # A question that its asker has given up is answered first.
-        kept.answer_without_place(question.request_id, Wait(0.0))
+        queue.answer_without_place(question.request_id, Wait(0.0))
         future: asyncio.Future[PlaceAnswer] = asyncio.get_running_loop().create_future()
         held = HeldQuestion(question, self._clock() + hold_s, future)
-        kept.held[question.request_id] = held
+        queue.held_queries[question.request_id] = held
         try:
             await asyncio.wait({future}, timeout=hold_s)
         finally:
-            if kept.held.get(question.request_id) is held:
-                del kept.held[question.request_id]
-        return future.result() if future.done() else self._wait_answer(kept, waiting, self._clock())
+            if queue.held_queries.get(question.request_id) is held:
+                del queue.held_queries[question.request_id]
+        return (
+            future.result() if future.done() else self._wait_answer(queue, waiting, self._clock())
+        )
 
-    def _wait_answer(self, kept: KeptLine, waiting: Waiting, now: float) -> PlaceAnswer:
-        state = kept.line.state_before(waiting, now)
+    def _wait_answer(self, queue: KeptLine, waiting: Waiting, now: float) -> PlaceAnswer:
+        state = queue.requests.state_before(waiting, now)
         in_s = expected_wait_s(waiting.need, state)
         return PlaceAnswer(settled=True, otherwise=Wait(in_s, state.ahead))
 
-    def _make_room(self, kept: KeptLine, now: float) -> None:
-        while (shed := kept.line.shed(now)) is not None:
-            answer = self._outcomes.refused(kept, shed, RefusalReason.LINE_FULL, now)
-            kept.answer(shed.request_id, answer)
+    def _shed_excess(self, queue: KeptLine, now: float) -> None:
+        while (shed := queue.requests.shed(now)) is not None:
+            answer = self._outcomes.refuse(queue, shed, RefusalReason.LINE_FULL, now)
+            queue.answer(shed.request_id, answer)
 
-    def _look_from_now_on(self) -> None:
+    def _start_scanning(self) -> None:
         """Look for room for as long as somebody waits."""
         self._changed.set()
-        if self._looking is None or self._looking.done():
-            self._looking = asyncio.get_running_loop().create_task(self._look_on())
-            self._looking.add_done_callback(self._on_looked)
+        if self._scan_task is None or self._scan_task.done():
+            self._scan_task = asyncio.get_running_loop().create_task(self._scan_loop())
+            self._scan_task.add_done_callback(self._on_scan_ended)
 
-    def _on_looked(self, task: asyncio.Task[None]) -> None:
-        if self._looking is task:
-            self._looking = None
+    def _on_scan_ended(self, task: asyncio.Task[None]) -> None:
+        if self._scan_task is task:
+            self._scan_task = None
         if not task.cancelled() and (error := task.exception()) is not None:
             self._log.error("line_failed", error=repr(error))
 
-    async def _look_on(self) -> None:
-        while any(len(kept.line) for kept in self._kept.values()):
+    async def _scan_loop(self) -> None:
+        while any(len(queue.requests) for queue in self._queues.values()):
             self._changed.clear()
-            for kept in self._kept.values():
-                self._look(kept)
-            await asyncio.sleep(FASTEST_LOOK_S)
+            for queue in self._queues.values():
+                self._scan(queue)
+            await asyncio.sleep(MIN_SCAN_INTERVAL_S)
             try:
-                async with asyncio.timeout(LOOK_S - FASTEST_LOOK_S):
+                async with asyncio.timeout(MAX_SCAN_INTERVAL_S - MIN_SCAN_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
                 # Room that nobody tells of: others' notes, replicas that have come.
                 continue
 
-    def _look(self, kept: KeptLine) -> None:
+    def _scan(self, queue: KeptLine) -> None:
         """Grant what room there is, in order."""
         now = self._clock()
-        self._drop_over(kept, now)
-        service = self._service(kept.service)
+        self._drop_expired(queue, now)
+        service = self._service(queue.service)
         if service is None or not self._directory.live(service.name):
-            kept.line.stand_still(now)
+            queue.requests.stand_still(now)
             return
-        self._grants.grant_in_order(kept, service, now)
+        self._grants.grant_in_order(queue, service, now)
 
-    def _drop_over(self, kept: KeptLine, now: float) -> None:
-        for waiting in kept.line.expire(now):
-            if waiting.request_id in kept.held and now >= waiting.give_up_at:
-                answer = self._outcomes.refused(kept, waiting, RefusalReason.NO_ROOM, now)
-                kept.answer(waiting.request_id, answer)
+    def _drop_expired(self, queue: KeptLine, now: float) -> None:
+        for waiting in queue.requests.expire(now):
+            if waiting.request_id in queue.held_queries and now >= waiting.give_up_at:
+                answer = self._outcomes.refuse(queue, waiting, RefusalReason.NO_ROOM, now)
+                queue.answer(waiting.request_id, answer)
             else:
-                self._outcomes.left(kept, waiting, "lease")
+                self._outcomes.record_left(queue, waiting, "lease")
                 # This process stood still: who is there still asks again.
-                kept.answer_without_place(waiting.request_id, Wait(0.0))
+                queue.answer_without_place(waiting.request_id, Wait(0.0))
 
 
-def _ever_fits(service: Service, need: Need) -> bool:
+def _fits_empty_replica(service: Service, need: Need) -> bool:
     """Return whether an empty replica would have room."""
     engine = service.engine
     return engine is not None and need.tokens <= engine.kv_capacity_tokens
--- a/reachlink/coordination/_line_grants.py
+++ b/reachlink/coordination/_line_grants.py
@@ -23,11 +23,11 @@
 
 # Waiting requests that replicas are compared for in order; as many more where these may fit and
 # none of the first does.
-COMPARED = 8
+MAX_COMPARED = 8
 # Places that are granted in one look.
-GRANTED = 16
+MAX_GRANTS_PER_SCAN = 16
 
-_Asked = tuple[Waiting, HeldQuestion]
+_Candidate = tuple[Waiting, HeldQuestion]
 
 
 class LineGrants:
@@ -74,73 +74,75 @@
         self._outcomes = outcomes
         self._clock = clock
 
-    def begin_at_once(
-        self, kept: KeptLine, service: Service, question: PlaceQuestion, need: Need
+    def start_immediately(
+        self, queue: KeptLine, service: Service, question: PlaceQuestion, need: Need
     ) -> PlaceAnswer | None:
         """Return the answer to a request that finds nobody in line, and room."""
-        if len(kept.line):
+        if len(queue.requests):
             return None
-        replica = self._room(service, question)
+        replica = self._start_now(service, question)
         if replica is None:
             return None
         now = self._clock()
-        kept.line.note_begun(need, now)
-        self._outcomes.settle(kept, question.request_id, need, Begin(replica.name), NO_LINE)
+        queue.requests.note_begun(need, now)
+        self._outcomes.record_decision(
+            queue, question.request_id, need, Begin(replica.name), NO_LINE
+        )
         return PlaceAnswer(settled=True, replica=replica)
 
-    def grant_in_order(self, kept: KeptLine, service: Service, now: float) -> None:
+    def grant_in_order(self, queue: KeptLine, service: Service, now: float) -> None:
         """Grant what room there is to those who wait."""
-        kept.unfit.clear(now)
-        for _ in range(GRANTED):
-            if not self._grant_next(kept, service, now):
+        queue.unfit.clear(now)
+        for _ in range(MAX_GRANTS_PER_SCAN):
+            if not self._grant_next(queue, service, now):
                 return
 
     def has_room(
-        self, kept: KeptLine, service: Service, question: PlaceQuestion, now: float
+        self, queue: KeptLine, service: Service, question: PlaceQuestion, now: float
     ) -> bool:
         """Return whether a place is free for a request, though others go first."""
-        kept.unfit.drop_expired(now)
-        if not kept.unfit.may_fit(question):
+        queue.unfit.drop_expired(now)
+        if not queue.unfit.may_fit(question):
             return False
         if self._placing.has_room(service, question):
             return True
-        kept.unfit.add(question)
+        queue.unfit.add(question)
         return False
 
-    def _grant_next(self, kept: KeptLine, service: Service, now: float) -> bool:
+    def _grant_next(self, queue: KeptLine, service: Service, now: float) -> bool:
         """Grant a place to the first for whom there is one; return whether there was."""
-        asked = [
+        candidates = [
             (waiting, held)
-            for waiting in kept.line.order(now)
-            if (held := kept.held.get(waiting.request_id)) is not None and now < held.until
+            for waiting in queue.requests.order(now)
+            if (held := queue.held_queries.get(waiting.request_id)) is not None and now < held.until
         ]
-        smallest = _smallest(asked)
+        smallest = _smallest_by_constraints(candidates)
         # Where the smallest does not fit, none of those who may go there does.
-        for _, held in smallest[:COMPARED]:
-            self.has_room(kept, service, held.question, now)
+        for _, held in smallest[:MAX_COMPARED]:
+            self.has_room(queue, service, held.question, now)
         # The first that does not fit of those who may go to the same zones.
-        passed: dict[tuple[str, ...] | None, Waiting] = {}
-        kept_back: frozenset[str] = frozenset()
+        overtaken: dict[tuple[str, ...] | None, Waiting] = {}
+        reserved: frozenset[str] = frozenset()
         compared = 0
-        for waiting, held in asked:
-            if kept.unfit.may_fit(held.question) and compared < COMPARED:
+        for waiting, held in candidates:
+            if queue.unfit.may_fit(held.question) and compared < MAX_COMPARED:
                 compared += 1
-                if self._grant(kept, service, waiting, held, now, kept_back):
-                    _note_passed(passed, now)
+                if self._grant(queue, service, waiting, held, now, reserved):
+                    _record_overtaken(overtaken, now)
                     return True
-            if held.question.zones not in passed:
-                passed[held.question.zones] = waiting
+            if held.question.zones not in overtaken:
+                overtaken[held.question.zones] = waiting
                 if waiting.holds_back(now):
-                    kept_back |= self._kept_back(service, held.question)
+                    reserved |= self._reserved_replicas(service, held.question)
         # Those who were not compared, by chance: each has its turn.
-        left = [(waiting, held) for waiting, held in smallest if kept.unfit.may_fit(held.question)]
-        for waiting, held in self._random.sample(left, min(COMPARED, len(left))):
-            if self._grant(kept, service, waiting, held, now, kept_back):
-                _note_passed(passed, now)
+        left = [(waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.question)]
+        for waiting, held in self._random.sample(left, min(MAX_COMPARED, len(left))):
+            if self._grant(queue, service, waiting, held, now, reserved):
+                _record_overtaken(overtaken, now)
                 return True
         return False
 
-    def _kept_back(self, service: Service, question: PlaceQuestion) -> frozenset[str]:
+    def _reserved_replicas(self, service: Service, question: PlaceQuestion) -> frozenset[str]:
         """Return the replicas where room is held back for one that may go there."""
         live = self._directory.live(service.name)
         zones = question.zones
@@ -153,43 +155,43 @@
 
     def _grant(
         self,
-        kept: KeptLine,
+        queue: KeptLine,
         service: Service,
         waiting: Waiting,
         held: HeldQuestion,
         now: float,
-        kept_back: frozenset[str],
+        reserved: frozenset[str],
     ) -> bool:
-        excluded = (*held.question.excluded, *kept_back)
+        excluded = (*held.question.excluded, *reserved)
         start = self._placing.start(service, structs.replace(held.question, excluded=excluded))
         if not isinstance(start, Begin):
-            kept.unfit.add(held.question)
+            queue.unfit.add(held.question)
             return False
-        replica = self.take(kept, waiting, held.question, start.replica, now)
+        replica = self.record_grant(queue, waiting, held.question, start.replica, now)
         if replica is None:
-            kept.unfit.add(held.question)
+            queue.unfit.add(held.question)
             return False
-        kept.answer(waiting.request_id, PlaceAnswer(settled=True, replica=replica))
+        queue.answer(waiting.request_id, PlaceAnswer(settled=True, replica=replica))
         return True
 
-    def take(
-        self, kept: KeptLine, waiting: Waiting, question: PlaceQuestion, name: str, now: float
+    def record_grant(
+        self, queue: KeptLine, waiting: Waiting, question: PlaceQuestion, name: str, now: float
     ) -> ListedReplica | None:
         """Note a place that a waiting request gets, and return it."""
-        replica = self._occupy(question, name)
+        replica = self._reserve(question, name)
         if replica is None:
             return None
-        state = LineState(len(kept.line) - 1, 0, kept.line.drain_tokens_per_s(now))
-        kept.line.granted(waiting.request_id, now)
-        self._outcomes.granted(kept, waiting, replica.name, state, now)
+        state = LineState(len(queue.requests) - 1, 0, queue.requests.drain_tokens_per_s(now))
+        queue.requests.granted(waiting.request_id, now)
+        self._outcomes.record_granted(queue, waiting, replica.name, state, now)
         return replica
 
-    def _room(self, service: Service, question: PlaceQuestion) -> ListedReplica | None:
+    def _start_now(self, service: Service, question: PlaceQuestion) -> ListedReplica | None:
         """Return the replica where a request begins now, noting that it does."""
         start = self._placing.start(service, question)
-        return self._occupy(question, start.replica) if isinstance(start, Begin) else None
+        return self._reserve(question, start.replica) if isinstance(start, Begin) else None
 
-    def _occupy(self, question: PlaceQuestion, name: str) -> ListedReplica | None:
+    def _reserve(self, question: PlaceQuestion, name: str) -> ListedReplica | None:
         replica = self._directory.find(name)
         if replica is None:
             return None
@@ -203,10 +205,10 @@
         )
 
 
-def _smallest(asked: list[_Asked]) -> list[_Asked]:
+def _smallest_by_constraints(candidates: list[_Candidate]) -> list[_Candidate]:
     """Return the one that needs least memory of those who may go to the same replicas."""
-    found: dict[object, _Asked] = {}
-    for waiting, held in asked:
+    found: dict[object, _Candidate] = {}
+    for waiting, held in candidates:
         constraints = constraints_of(held.question)
         before = found.get(constraints)
         if before is None or held.question.tokens < before[1].question.tokens:
@@ -214,6 +216,6 @@
     return list(found.values())
 
 
-def _note_passed(passed: dict[tuple[str, ...] | None, Waiting], now: float) -> None:
-    for waiting in passed.values():
+def _record_overtaken(overtaken: dict[tuple[str, ...] | None, Waiting], now: float) -> None:
+    for waiting in overtaken.values():
         waiting.note_passed(now)
--- a/reachlink/coordination/_line_outcomes.py
+++ b/reachlink/coordination/_line_outcomes.py
@@ -40,7 +40,7 @@
     def __init__(
         self, count: Callable[[str, str], None], clock: Callable[[], float], random: Random
     ) -> None:
-        self._returns = ReturnLedger(clock)
+        self._ledger = ReturnLedger(clock)
         self._count = count
         self._clock = clock
         self._random = random
@@ -49,50 +49,52 @@
     @property
     def returns(self) -> ReturnCounts:
         """What became of those who were refused here."""
-        return self._returns.book.counts
+        return self._ledger.book.counts
 
     def told_tokens(self, service: str, now: float) -> int:
         """Return what those need who were told to come back to a service, in tokens."""
-        return self._returns.book.told_tokens(service, now)
+        return self._ledger.book.told_tokens(service, now)
 
-    def arrived(self, kept: KeptLine, question: PlaceQuestion) -> tuple[PlaceQuestion, Need]:
+    def record_arrival(
+        self, queue: KeptLine, question: PlaceQuestion
+    ) -> tuple[PlaceQuestion, Need]:
         """Note the first question about a request; return it and its need, as was promised."""
-        need, promise = self._returns.arrive(question)
+        need, promise = self._ledger.on_arrival(question)
         question = structs.replace(question, need=need)
-        kept.arrived[question.request_id] = question, promise
+        queue.arrivals[question.request_id] = question, promise
         return question, need
 
-    def settle(
-        self, kept: KeptLine, request_id: str, need: Need, start: Begin | Refuse, line: LineState
+    def record_decision(
+        self, queue: KeptLine, request_id: str, need: Need, start: Begin | Refuse, line: LineState
     ) -> Refuse | None:
         """Note what became of a request; return what it is told that is refused."""
-        arrived = kept.arrived.pop(request_id, None)
+        arrived = queue.arrivals.pop(request_id, None)
         if arrived is None:
             return start if isinstance(start, Refuse) else None
         question, promise = arrived
-        told = self._returns.settle(question, need, promise, start, line)
+        told = self._ledger.record_decision(question, need, promise, start, line)
         return told if isinstance(told, Refuse) else None
 
-    def refused(
-        self, kept: KeptLine, waiting: Waiting, reason: RefusalReason, now: float
+    def refuse(
+        self, queue: KeptLine, waiting: Waiting, reason: RefusalReason, now: float
     ) -> PlaceAnswer:
         """Return the answer to a request that goes, and note why."""
-        state = kept.line.state_before(waiting, now)
+        state = queue.requests.state_before(waiting, now)
         left = waiting.need_at(now)
-        state = replace(state, told_tokens=self.told_tokens(kept.service, now))
+        state = replace(state, told_tokens=self.told_tokens(queue.service, now))
         found = refuse(left, state, reason, self._random)
-        told = self.settle(kept, waiting.request_id, left, found, state)
-        self._count(kept.service, reason.value)
-        self.left(kept, waiting, reason.value)
+        told = self.record_decision(queue, waiting.request_id, left, found, state)
+        self._count(queue.service, reason.value)
+        self.record_left(queue, waiting, reason.value)
         return PlaceAnswer(settled=True, otherwise=told)
 
-    def joined(self, kept: KeptLine, waiting: Waiting, now: float) -> None:
+    def record_joined(self, queue: KeptLine, waiting: Waiting, now: float) -> None:
         """Note that a request stands in line from now on."""
-        state = kept.line.state_before(waiting, now)
+        state = queue.requests.state_before(waiting, now)
         self._log.info(
             "line_joined",
             request_id=waiting.request_id,
-            service=kept.service,
+            service=queue.service,
             instance=waiting.instance,
             need_tokens=waiting.need.tokens,
             ahead=state.ahead,
@@ -102,16 +104,16 @@
             priority=waiting.need.priority,
         )
 
-    def granted(
-        self, kept: KeptLine, waiting: Waiting, replica: str, state: LineState, now: float
+    def record_granted(
+        self, queue: KeptLine, waiting: Waiting, replica: str, state: LineState, now: float
     ) -> None:
         """Note that a waiting request gets a place at a replica."""
-        self.settle(kept, waiting.request_id, waiting.need, Begin(replica), state)
-        self._count(kept.service, "granted")
+        self.record_decision(queue, waiting.request_id, waiting.need, Begin(replica), state)
+        self._count(queue.service, "granted")
         self._log.info(
             "line_granted",
             request_id=waiting.request_id,
-            service=kept.service,
+            service=queue.service,
             replica=replica,
             waited_ms=round((now - waiting.joined_at) * 1000.0),
             behind=state.ahead,
@@ -120,18 +122,18 @@
             priority=waiting.need.priority,
         )
 
-    def left(self, kept: KeptLine, waiting: Waiting, reason: str) -> None:
+    def record_left(self, queue: KeptLine, waiting: Waiting, reason: str) -> None:
         """Note that a request is in line no more, and why."""
-        _, promise = kept.arrived.pop(waiting.request_id, (None, None))
+        _, promise = queue.arrivals.pop(waiting.request_id, (None, None))
         if reason == "lease" and promise is not None:
-            self._returns.book.give_back(promise, self._clock())
+            self._ledger.book.give_back(promise, self._clock())
         if reason in ("gone", "lease"):
-            self._count(kept.service, "left")
+            self._count(queue.service, "left")
         self._log.info(
             "line_left",
             request_id=waiting.request_id,
-            service=kept.service,
+            service=queue.service,
             reason=reason,
             waited_ms=round((self._clock() - waiting.joined_at) * 1000.0),
-            waiting=len(kept.line),
+            waiting=len(queue.requests),
         )
--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -84,11 +84,11 @@
 
     def take_from_member(self, name: str, notes: Iterable[PaceNote]) -> None:
         """Take what a member tells."""
-        self._take(notes, PaceSource.MEMBER, name)
+        self._apply(notes, PaceSource.MEMBER, name)
 
     def take_from_coordinator(self, name: str, notes: Iterable[PaceNote]) -> None:
         """Take what a coordinator tells, its members or the others."""
-        self._take(notes, PaceSource.COORDINATOR, name)
+        self._apply(notes, PaceSource.COORDINATOR, name)
 
     def _notes(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceNote]:
         now = self._clock()
@@ -128,7 +128,7 @@
             self._recipients.move_to_end(name)
         return found
 
-    def _take(self, notes: Iterable[PaceNote], source: PaceSource, sender: str) -> None:
+    def _apply(self, notes: Iterable[PaceNote], source: PaceSource, sender: str) -> None:
         now = self._clock()
         for note in notes:
             replica = self._directory.find(note.replica)
--- a/reachlink/coordination/_return_ledger.py
+++ b/reachlink/coordination/_return_ledger.py
@@ -18,7 +18,7 @@
 from reachlink.telemetry import get_logger
 
 # Lines that are logged a second at the most; the next tells how many were left out.
-LINES_PER_S = 20
+MAX_LOG_LINES_PER_S = 20
 
 
 class ReturnLedger:
@@ -39,11 +39,11 @@
         self.book = ReturnBook()
         self._clock = clock
         self._second = 0
-        self._lines = 0
-        self._left_out = 0
+        self._lines_this_second = 0
+        self._omitted = 0
         self._log: Any = get_logger()
 
-    def arrive(self, question: PlaceQuestion) -> tuple[Need, Promise | None]:
+    def on_arrival(self, question: PlaceQuestion) -> tuple[Need, Promise | None]:
         """Return what a request needs that arrives, and what it had been promised.
 
         Parameters
@@ -57,7 +57,7 @@
         if promise is None:
             return need, None
         need = with_return(need, promise, now)
-        self._tell(
+        self._log_limited(
             "return_found",
             request_id=question.request_id,
             fingerprint=fingerprint_text(question.fingerprint),
@@ -68,7 +68,7 @@
         )
         return need, promise
 
-    def settle(
+    def record_decision(
         self,
         question: PlaceQuestion,
         need: Need,
@@ -95,7 +95,7 @@
             promise, question.fingerprint, question.service, need, start, self._clock()
         )
         if isinstance(told, Refuse):
-            self._tell(
+            self._log_limited(
                 "refused",
                 request_id=question.request_id,
                 service=question.service,
@@ -111,13 +111,13 @@
             )
         return told
 
-    def _tell(self, event: str, **fields: Any) -> None:
+    def _log_limited(self, event: str, **fields: Any) -> None:
         second = int(self._clock())
         if second != self._second:
-            self._second, self._lines = second, 0
-        if self._lines >= LINES_PER_S:
-            self._left_out += 1
+            self._second, self._lines_this_second = second, 0
+        if self._lines_this_second >= MAX_LOG_LINES_PER_S:
+            self._omitted += 1
             return
-        self._lines += 1
-        self._log.info(event, left_out=self._left_out, **fields)
-        self._left_out = 0
+        self._lines_this_second += 1
+        self._log.info(event, left_out=self._omitted, **fields)
+        self._omitted = 0
--- a/reachlink/coordination/tests/test_line.py
+++ b/reachlink/coordination/tests/test_line.py
@@ -296,7 +296,7 @@
         # The last look has ended, and nothing was told of it yet.
         ended = asyncio.ensure_future(asyncio.sleep(0.0))
         await ended
-        owner.line._looking = ended
+        owner.line._scan_task = ended
         waiting = asyncio.ensure_future(m1.member.ask(asked("id-1", hold_s=0.9)))
         await asyncio.sleep(0.1)
         end(chosen[0], "r1")
--- a/reachlink/coordination/tests/test_line_grants.py
+++ b/reachlink/coordination/tests/test_line_grants.py
@@ -137,7 +137,7 @@
         line, options = scene.owner.line, scene.owner.placing._options
         assert line is not None
         with patch.object(options, "of", wraps=options.of) as looked:
-            line._look(line._kept["chat"])
+            line._scan(line._queues["chat"])
             assert looked.call_count == 1
         for task in tasks:
             task.cancel()
@@ -151,7 +151,7 @@
         await asyncio.sleep(KNOWN_S)
         line, placing = scene.owner.line, scene.owner.placing
         assert line is not None
-        line._look(line._kept["chat"])
+        line._scan(line._queues["chat"])
         questions = [asked(f"late-{n}", give_up_in_s=2.0, hold_s=0.0) for n in range(20)]
         with patch.object(placing, "has_room", wraps=placing.has_room) as looked:
             answers = await asyncio.gather(*ask_all(scene, questions))
--- a/reachlink/coordination/tests/test_line_refusals.py
+++ b/reachlink/coordination/tests/test_line_refusals.py
@@ -80,7 +80,7 @@
         line = scene.owner.line
         assert line is not None
         assert tried.need is not None
-        line._outcomes._returns.book.promise(
+        line._outcomes._ledger.book.promise(
             7, "chat", tried.need, Refuse(0.1, kept=True), scene.network.now
         )
         await asyncio.sleep(0.15)
--- a/reachlink/coordination/tests/test_return_ledger.py
+++ b/reachlink/coordination/tests/test_return_ledger.py
@@ -38,8 +38,8 @@
 
 def ask(ledger: ReturnLedger, request_id: str, start, fingerprint: int = 77):
     asked = question(request_id, fingerprint)
-    need, promise = ledger.arrive(asked)
-    return need, ledger.settle(asked, need, promise, start, LINE)
+    need, promise = ledger.on_arrival(asked)
+    return need, ledger.record_decision(asked, need, promise, start, LINE)
 
 
 def test_a_request_is_known_again_under_another_id_from_another_instance(ledger, clock):
@@ -65,7 +65,7 @@
 
 
 def test_log_lines_are_bounded_and_those_left_out_are_counted(ledger, clock):
-    most = ledger_module.LINES_PER_S
+    most = ledger_module.MAX_LOG_LINES_PER_S
     with capture_logs() as logs:
         for number in range(most + 5):
             ask(ledger, f"id-{number}", REFUSED, fingerprint=number + 1)
--- a/reachlink/entry/tests/test_relay_node.py
+++ b/reachlink/entry/tests/test_relay_node.py
@@ -62,8 +62,8 @@
 def test_operators_see_the_lines_that_an_instance_keeps(node_with_lines):
     line = node_with_lines.line
     need = Need(tokens=4000, give_up_in_s=30.0)
-    line._kept["chat"] = KeptLine("chat")
-    line._kept["chat"].line.join("id-1", "e2", need, steady_time() - 2.0, 10.0)
+    line._queues["chat"] = KeptLine("chat")
+    line._queues["chat"].requests.join("id-1", "e2", need, steady_time() - 2.0, 10.0)
     node_with_lines.metrics.count_in_line("chat", "granted")
     page = node_with_lines.metrics.page().decode()
     (length,) = [row for row in page.splitlines() if row.startswith("reachlink_line_length")]
