--- a/reachlink/coordination/_kept_line.py
+++ b/reachlink/coordination/_kept_line.py
@@ -5,7 +5,7 @@
 
 from reachlink.coordination._unfit_cache import UnfitCache
 from reachlink.requests import PlaceAnswer, PlaceQuestion
-from reachlink.scheduling import Line, Promise, Refuse, Wait
+from reachlink.scheduling import Promise, Refuse, RequestQueue, Wait
 
 
 @dataclass(slots=True, eq=False)
@@ -32,7 +32,7 @@
     """The line of one service, with the questions of those that wait."""
 
     service: str
-    requests: Line = field(default_factory=Line)
+    requests: RequestQueue = field(default_factory=RequestQueue)
     held_queries: dict[str, HeldQuestion] = field(default_factory=dict)
     # Those that have arrived, by their names: what was asked first, and what they had been
     # promised when they were refused before.
--- a/reachlink/coordination/_line_exchange.py
+++ b/reachlink/coordination/_line_exchange.py
@@ -28,12 +28,12 @@
 from reachlink.scheduling import (
     Begin,
     Need,
+    QueuedRequest,
     RefusalReason,
     Refuse,
     ReturnCounts,
     Start,
     Wait,
-    Waiting,
     expected_wait_s,
 )
 from reachlink.telemetry import get_logger
@@ -201,13 +201,13 @@
         queue: KeptLine,
         service: Service,
         question: PlaceQuestion,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         now: float,
     ) -> Start:
         """Return what is forecast for a request that stands in line."""
-        state = queue.requests.state_before(waiting, now)
-        told = self._outcomes.told_tokens(queue.service, now)
-        state = replace(state, told_tokens=told)
+        state = queue.requests.state_ahead_of(waiting, now)
+        told = self._outcomes.reserved_tokens(queue.service, now)
+        state = replace(state, reserved_tokens=told)
         asked = structs.replace(question, need=waiting.need_at(now))
         start = self._placing.start(service, asked, state)
         refused = isinstance(start, Refuse) and state.ahead > 0
@@ -215,15 +215,15 @@
             return Wait(expected_wait_s(waiting.need, state), state.ahead)
         return start
 
-    def _is_hopeless(self, queue: KeptLine, waiting: Waiting, now: float) -> bool:
+    def _is_hopeless(self, queue: KeptLine, waiting: QueuedRequest, now: float) -> bool:
         """Return whether one that stands in line already will wait far beyond its time."""
-        state = queue.requests.state_before(waiting, now)
+        state = queue.requests.state_ahead_of(waiting, now)
         return expected_wait_s(waiting.need, state) >= HOPELESS_WAIT_FACTOR * (
-            waiting.give_up_at - now
+            waiting.latest_start_at - now
         )
 
     async def _hold(
-        self, queue: KeptLine, question: PlaceQuestion, waiting: Waiting, hold_s: float
+        self, queue: KeptLine, question: PlaceQuestion, waiting: QueuedRequest, hold_s: float
     ) -> PlaceAnswer:
         """Return the answer once there is one, or that it waits yet."""
         # A question that its asker has given up is answered first.
@@ -240,8 +240,8 @@
             future.result() if future.done() else self._wait_answer(queue, waiting, self._clock())
         )
 
-    def _wait_answer(self, queue: KeptLine, waiting: Waiting, now: float) -> PlaceAnswer:
-        state = queue.requests.state_before(waiting, now)
+    def _wait_answer(self, queue: KeptLine, waiting: QueuedRequest, now: float) -> PlaceAnswer:
+        state = queue.requests.state_ahead_of(waiting, now)
         in_s = expected_wait_s(waiting.need, state)
         return PlaceAnswer(settled=True, otherwise=Wait(in_s, state.ahead))
 
@@ -282,13 +282,13 @@
         self._drop_expired(queue, now)
         service = self._service(queue.service)
         if service is None or not self._directory.live(service.name):
-            queue.requests.stand_still(now)
+            queue.requests.pause_grant_rates(now)
             return
         self._grants.grant_in_order(queue, service, now)
 
     def _drop_expired(self, queue: KeptLine, now: float) -> None:
         for waiting in queue.requests.expire(now):
-            if waiting.request_id in queue.held_queries and now >= waiting.give_up_at:
+            if waiting.request_id in queue.held_queries and now >= waiting.latest_start_at:
                 answer = self._outcomes.refuse(queue, waiting, RefusalReason.NO_ROOM, now)
                 queue.answer(waiting.request_id, answer)
             else:
--- a/reachlink/coordination/_line_grants.py
+++ b/reachlink/coordination/_line_grants.py
@@ -19,7 +19,7 @@
     SharedLoad,
 )
 from reachlink.routing import Service
-from reachlink.scheduling import NO_LINE, Begin, LineState, Need, Waiting
+from reachlink.scheduling import EMPTY_QUEUE, Begin, Need, QueuedRequest, QueueState
 
 # Waiting requests that replicas are compared for in order; as many more where these may fit and
 # none of the first does.
@@ -27,7 +27,7 @@
 # Places that are granted in one look.
 MAX_GRANTS_PER_SCAN = 16
 
-_Candidate = tuple[Waiting, HeldQuestion]
+_Candidate = tuple[QueuedRequest, HeldQuestion]
 
 
 class LineGrants:
@@ -84,9 +84,9 @@
         if replica is None:
             return None
         now = self._clock()
-        queue.requests.note_begun(need, now)
+        queue.requests.record_immediate_start(need, now)
         self._outcomes.record_decision(
-            queue, question.request_id, need, Begin(replica.name), NO_LINE
+            queue, question.request_id, need, Begin(replica.name), EMPTY_QUEUE
         )
         return PlaceAnswer(settled=True, replica=replica)
 
@@ -121,7 +121,7 @@
         for _, held in smallest[:MAX_COMPARED]:
             self.has_room(queue, service, held.question, now)
         # The first that does not fit of those who may go to the same zones.
-        overtaken: dict[tuple[str, ...] | None, Waiting] = {}
+        overtaken: dict[tuple[str, ...] | None, QueuedRequest] = {}
         reserved: frozenset[str] = frozenset()
         compared = 0
         for waiting, held in candidates:
@@ -132,7 +132,7 @@
                     return True
             if held.question.zones not in overtaken:
                 overtaken[held.question.zones] = waiting
-                if waiting.holds_back(now):
+                if waiting.reserves_room(now):
                     reserved |= self._reserved_replicas(service, held.question)
         # Those who were not compared, by chance: each has its turn.
         left = [(waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.question)]
@@ -157,7 +157,7 @@
         self,
         queue: KeptLine,
         service: Service,
-        waiting: Waiting,
+        waiting: QueuedRequest,
         held: HeldQuestion,
         now: float,
         reserved: frozenset[str],
@@ -175,14 +175,19 @@
         return True
 
     def record_grant(
-        self, queue: KeptLine, waiting: Waiting, question: PlaceQuestion, name: str, now: float
+        self,
+        queue: KeptLine,
+        waiting: QueuedRequest,
+        question: PlaceQuestion,
+        name: str,
+        now: float,
     ) -> ListedReplica | None:
         """Note a place that a waiting request gets, and return it."""
         replica = self._reserve(question, name)
         if replica is None:
             return None
-        state = LineState(len(queue.requests) - 1, 0, queue.requests.drain_tokens_per_s(now))
-        queue.requests.granted(waiting.request_id, now)
+        state = QueueState(len(queue.requests) - 1, 0, queue.requests.granted_tokens_per_s(now))
+        queue.requests.grant(waiting.request_id, now)
         self._outcomes.record_granted(queue, waiting, replica.name, state, now)
         return replica
 
@@ -216,6 +221,6 @@
     return list(found.values())
 
 
-def _record_overtaken(overtaken: dict[tuple[str, ...] | None, Waiting], now: float) -> None:
+def _record_overtaken(overtaken: dict[tuple[str, ...] | None, QueuedRequest], now: float) -> None:
     for waiting in overtaken.values():
-        waiting.note_passed(now)
+        waiting.record_overtaken(now)
--- a/reachlink/coordination/_line_outcomes.py
+++ b/reachlink/coordination/_line_outcomes.py
@@ -12,12 +12,12 @@
 from reachlink.requests import PlaceAnswer, PlaceQuestion
 from reachlink.scheduling import (
     Begin,
-    LineState,
     Need,
+    QueuedRequest,
+    QueueState,
     RefusalReason,
     Refuse,
     ReturnCounts,
-    Waiting,
     refuse,
 )
 from reachlink.telemetry import get_logger
@@ -51,9 +51,9 @@
         """What became of those who were refused here."""
         return self._ledger.book.counts
 
-    def told_tokens(self, service: str, now: float) -> int:
+    def reserved_tokens(self, service: str, now: float) -> int:
         """Return what those need who were told to come back to a service, in tokens."""
-        return self._ledger.book.told_tokens(service, now)
+        return self._ledger.book.reserved_tokens(service, now)
 
     def record_arrival(
         self, queue: KeptLine, question: PlaceQuestion
@@ -65,7 +65,7 @@
         return question, need
 
     def record_decision(
-        self, queue: KeptLine, request_id: str, need: Need, start: Begin | Refuse, line: LineState
+        self, queue: KeptLine, request_id: str, need: Need, start: Begin | Refuse, line: QueueState
     ) -> Refuse | None:
         """Note what became of a request; return what it is told that is refused."""
         arrived = queue.arrivals.pop(request_id, None)
@@ -76,21 +76,21 @@
         return told if isinstance(told, Refuse) else None
 
     def refuse(
-        self, queue: KeptLine, waiting: Waiting, reason: RefusalReason, now: float
+        self, queue: KeptLine, waiting: QueuedRequest, reason: RefusalReason, now: float
     ) -> PlaceAnswer:
         """Return the answer to a request that goes, and note why."""
-        state = queue.requests.state_before(waiting, now)
+        state = queue.requests.state_ahead_of(waiting, now)
         left = waiting.need_at(now)
-        state = replace(state, told_tokens=self.told_tokens(queue.service, now))
+        state = replace(state, reserved_tokens=self.reserved_tokens(queue.service, now))
         found = refuse(left, state, reason, self._random)
         told = self.record_decision(queue, waiting.request_id, left, found, state)
         self._count(queue.service, reason.value)
         self.record_left(queue, waiting, reason.value)
         return PlaceAnswer(settled=True, otherwise=told)
 
-    def record_joined(self, queue: KeptLine, waiting: Waiting, now: float) -> None:
+    def record_joined(self, queue: KeptLine, waiting: QueuedRequest, now: float) -> None:
         """Note that a request stands in line from now on."""
-        state = queue.requests.state_before(waiting, now)
+        state = queue.requests.state_ahead_of(waiting, now)
         self._log.info(
             "line_joined",
             request_id=waiting.request_id,
@@ -99,13 +99,13 @@
             need_tokens=waiting.need.tokens,
             ahead=state.ahead,
             ahead_tokens=state.ahead_tokens,
-            drain=round(state.drain_tokens_per_s),
-            left_ms=round((waiting.give_up_at - now) * 1000.0),
+            drain=round(state.granted_tokens_per_s),
+            left_ms=round((waiting.latest_start_at - now) * 1000.0),
             priority=waiting.need.priority,
         )
 
     def record_granted(
-        self, queue: KeptLine, waiting: Waiting, replica: str, state: LineState, now: float
+        self, queue: KeptLine, waiting: QueuedRequest, replica: str, state: QueueState, now: float
     ) -> None:
         """Note that a waiting request gets a place at a replica."""
         self.record_decision(queue, waiting.request_id, waiting.need, Begin(replica), state)
@@ -117,12 +117,12 @@
             replica=replica,
             waited_ms=round((now - waiting.joined_at) * 1000.0),
             behind=state.ahead,
-            drain=round(state.drain_tokens_per_s),
+            drain=round(state.granted_tokens_per_s),
             late=waiting.is_late(now),
             priority=waiting.need.priority,
         )
 
-    def record_left(self, queue: KeptLine, waiting: Waiting, reason: str) -> None:
+    def record_left(self, queue: KeptLine, waiting: QueuedRequest, reason: str) -> None:
         """Note that a request is in line no more, and why."""
         _, promise = queue.arrivals.pop(waiting.request_id, (None, None))
         if reason == "lease" and promise is not None:
--- a/reachlink/coordination/_return_ledger.py
+++ b/reachlink/coordination/_return_ledger.py
@@ -7,9 +7,9 @@
 from reachlink.quarantine import fingerprint_text
 from reachlink.requests import PlaceQuestion
 from reachlink.scheduling import (
-    LineState,
     Need,
     Promise,
+    QueueState,
     Refuse,
     ReturnBook,
     Start,
@@ -74,7 +74,7 @@
         need: Need,
         promise: Promise | None,
         start: Start,
-        line: LineState,
+        line: QueueState,
     ) -> Start:
         """Note what was decided, on arrival or after a wait, and return what is told.
 
@@ -88,7 +88,7 @@
             What it had been promised, as `arrive` returned.
         start : Start
             What was decided.
-        line : LineState
+        line : QueueState
             What stood between it and room.
         """
         told = self.book.settle(
@@ -106,8 +106,8 @@
                 returner=need.returner,
                 ahead=line.ahead,
                 ahead_tokens=line.ahead_tokens,
-                told_tokens=line.told_tokens,
-                drain_tokens_per_s=round(line.drain_tokens_per_s),
+                told_tokens=line.reserved_tokens,
+                drain_tokens_per_s=round(line.granted_tokens_per_s),
             )
         return told
 
--- a/reachlink/coordination/tests/test_line.py
+++ b/reachlink/coordination/tests/test_line.py
@@ -9,7 +9,7 @@
 
 from reachlink.coordination.tests.world import SERVICE, Instance, Network, fleet, question
 from reachlink.requests import LoadNote, PlaceAnswer, PlaceQuestion
-from reachlink.scheduling import MAX_WAITING, Need, RefusalReason, Refuse, Wait
+from reachlink.scheduling import MAX_QUEUED, Need, RefusalReason, Refuse, Wait
 from reachlink.testing import run_virtually
 
 HOLD_S = 0.4
@@ -235,7 +235,7 @@
         await asyncio.sleep(0.01)
         rest = [
             asyncio.ensure_future(m1.member.ask(asked(f"id-{n}", hold_s=1.0)))
-            for n in range(MAX_WAITING)
+            for n in range(MAX_QUEUED)
         ]
         await asyncio.sleep(0.05)
         assert late.done() and not any(task.done() for task in rest)
@@ -333,7 +333,7 @@
     async def scene() -> list[PlaceAnswer]:
         crowd = [
             asyncio.ensure_future(others[0].member.ask(asked(f"id-{number}", give_up_in_s=60.0)))
-            for number in range(MAX_WAITING)
+            for number in range(MAX_QUEUED)
         ]
         await asyncio.sleep(0.01)
         first = msgspec.structs.replace(
--- a/reachlink/coordination/tests/test_return_ledger.py
+++ b/reachlink/coordination/tests/test_return_ledger.py
@@ -6,9 +6,9 @@
 from reachlink.coordination import ReturnLedger
 from reachlink.coordination import _return_ledger as ledger_module
 from reachlink.requests import PlaceQuestion, Purpose
-from reachlink.scheduling import Begin, LineState, Need, RefusalReason, Refuse
+from reachlink.scheduling import Begin, Need, QueueState, RefusalReason, Refuse
 
-LINE = LineState(7, 30_000, 10_000.0)
+LINE = QueueState(7, 30_000, 10_000.0)
 REFUSED = Refuse(3.0, RefusalReason.OVER_SHARE, kept=True)
 
 
--- a/reachlink/requests/_placing.py
+++ b/reachlink/requests/_placing.py
@@ -14,11 +14,11 @@
 from reachlink.requests._replica_options import ReplicaOptions
 from reachlink.routing import Service
 from reachlink.scheduling import (
-    NO_LINE,
+    EMPTY_QUEUE,
     Begin,
-    LineState,
     Need,
     Option,
+    QueueState,
     Refuse,
     Start,
     Wait,
@@ -212,7 +212,9 @@
         excluded = tuple({*question.excluded, *leaving})
         return await parts.ask_coordinator(structs.replace(question, excluded=excluded))
 
-    def start(self, service: Service, question: PlaceQuestion, line: LineState = NO_LINE) -> Start:
+    def start(
+        self, service: Service, question: PlaceQuestion, line: QueueState = EMPTY_QUEUE
+    ) -> Start:
         """Return where and when a request or copy could start, by this instance's information.
 
         Parameters
@@ -221,7 +223,7 @@
             Service of the request.
         question : PlaceQuestion
             Placement query.
-        line : LineState
+        line : QueueState
             Requests ahead in the queue.
         """
         need = question.need or Need(question.tokens, question.prompt_tokens)
--- a/reachlink/scheduling/__init__.py
+++ b/reachlink/scheduling/__init__.py
@@ -3,14 +3,13 @@
 from reachlink.scheduling._choice import choose, is_calm
 from reachlink.scheduling._duration import latest_start_s
 from reachlink.scheduling._forecast import ENGINE_SPEED, EngineSpeed, Forecast, forecast
-from reachlink.scheduling._line import MAX_WAITING, Line, Waiting
-from reachlink.scheduling._line_state import NO_LINE, LineState
 from reachlink.scheduling._need import Need
 from reachlink.scheduling._option import Option
 from reachlink.scheduling._pace import USUAL, Pace
 from reachlink.scheduling._pace_book import PaceBook, PaceChange, PaceSource, apart
 from reachlink.scheduling._pace_notes import PaceNote, pace_note
 from reachlink.scheduling._paces import HeardPace, Kin, PaceBelief
+from reachlink.scheduling._queue_state import EMPTY_QUEUE, QueueState
 from reachlink.scheduling._refusal import (
     RefusalReason,
     Refuse,
@@ -21,6 +20,7 @@
     refusal,
     refuse,
 )
+from reachlink.scheduling._request_queue import MAX_QUEUED, QueuedRequest, RequestQueue
 from reachlink.scheduling._returns import Promise, ReturnBook, ReturnCounts, with_return
 from reachlink.scheduling._rhythm import StreamRhythm, usual_event_s
 from reachlink.scheduling._settings import SchedulingChoice, SchedulingSettings
@@ -37,11 +37,11 @@
     "HeardPace",
     "Kin",
     "IN_LINE",
-    "Line",
-    "LineState",
-    "MAX_WAITING",
+    "RequestQueue",
+    "QueueState",
+    "MAX_QUEUED",
     "Measure",
-    "NO_LINE",
+    "EMPTY_QUEUE",
     "Need",
     "Option",
     "Pace",
@@ -64,7 +64,7 @@
     "Terms",
     "USUAL",
     "Wait",
-    "Waiting",
+    "QueuedRequest",
     "apart",
     "best_start",
     "choose",
--- a/reachlink/scheduling/_drain.py
+++ b/reachlink/scheduling/_grant_rate.py
@@ -17,19 +17,19 @@
 
 
 @dataclass(slots=True)
-class Drain:
+class GrantRate:
     """Exponentially decaying rate of memory granted while requests wait.
 
     Examples
     --------
-    >>> drain = Drain()
-    >>> drain.on_waiting(0.0)
-    >>> drain.tokens_per_s(0.1)
+    >>> rate = GrantRate()
+    >>> rate.on_waiting(0.0)
+    >>> rate.tokens_per_s(0.1)
     0.0
     >>> for tenth in range(1, 600):
-    ...     drain.on_granted(2_000)
-    ...     drain.on_waiting(tenth / 10.0)
-    >>> 20_000 < drain.tokens_per_s(60.0) < 21_000
+    ...     rate.on_granted(2_000)
+    ...     rate.on_waiting(tenth / 10.0)
+    >>> 20_000 < rate.tokens_per_s(60.0) < 21_000
     True
     """
 
--- a/reachlink/scheduling/_line_state.py
+++ b/reachlink/scheduling/_queue_state.py
@@ -4,7 +4,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LineState:
+class QueueState:
     """State of a queue ahead of one request, as its owner knows it.
 
     Attributes
@@ -13,9 +13,9 @@
         Number of requests ahead.
     ahead_tokens : int
         Memory that the requests ahead need, in tokens.
-    drain_tokens_per_s : float
+    granted_tokens_per_s : float
         Memory granted to waiting requests per second, in tokens; 0 if unknown.
-    told_tokens : int
+    reserved_tokens : int
         Memory reserved for refused callers that were given a retry time, in tokens.
     over_share : bool
         Whether the request's workspace already has its share of the capacity.
@@ -23,9 +23,9 @@
 
     ahead: int = 0
     ahead_tokens: int = 0
-    drain_tokens_per_s: float = 0.0
-    told_tokens: int = 0
+    granted_tokens_per_s: float = 0.0
+    reserved_tokens: int = 0
     over_share: bool = False
 
 
-NO_LINE = LineState()
+EMPTY_QUEUE = QueueState()
--- a/reachlink/scheduling/_refusal.py
+++ b/reachlink/scheduling/_refusal.py
@@ -12,12 +12,12 @@
 import msgspec
 
 from reachlink.scheduling._duration import latest_start_s
-from reachlink.scheduling._line_state import LineState
 from reachlink.scheduling._need import Need
+from reachlink.scheduling._queue_state import QueueState
 
 # Minimum retry time, in seconds: the known state of the capacity is this old.
 LEAST_S = 0.1
-# Maximum retry time, in seconds: the drain rate is not predictable for longer.
+# Maximum retry time, in seconds: the grant rate is not predictable for longer.
 MOST_S = 30.0
 # Callers respect a retry time up to this share of their remaining time and shorten a longer
 # one.
@@ -30,7 +30,7 @@
 # Maximum share of the freed capacity that is reserved for retries: retries are usually late
 # already and take the capacity from requests that could be in time.
 PROMISED_SHARE = 0.1
-# Assumed wait while no drain rate is known, in seconds.
+# Assumed wait while no grant rate is known, in seconds.
 UNKNOWN_WAIT_S = 1.0
 # Maximum of an expected wait, in seconds.
 LONGEST_WAIT_S = 3600.0
@@ -63,7 +63,7 @@
     kept: bool = False
 
 
-def expected_wait_s(need: Need, line: LineState) -> float:
+def expected_wait_s(need: Need, line: QueueState) -> float:
     """Return the expected time until there is capacity for a request, in seconds; finite.
 
     A retry at its given time goes ahead of a new request, and behind earlier retries.
@@ -72,23 +72,23 @@
     ----------
     need : Need
         Resources and deadlines of the request.
-    line : LineState
+    line : QueueState
         State of the queue ahead of the request.
     """
-    if line.drain_tokens_per_s <= 0.0:
+    if line.granted_tokens_per_s <= 0.0:
         return UNKNOWN_WAIT_S
-    wait_s = (line.ahead_tokens + need.tokens) / line.drain_tokens_per_s
+    wait_s = (line.ahead_tokens + need.tokens) / line.granted_tokens_per_s
     if not need.returner:
         # Retries take at most their reserved share of the capacity.
-        all_told_s = line.told_tokens / line.drain_tokens_per_s
+        all_told_s = line.reserved_tokens / line.granted_tokens_per_s
         wait_s = min(wait_s + all_told_s, wait_s / (1.0 - PROMISED_SHARE))
     return min(LONGEST_WAIT_S, wait_s)
 
 
-def refusal(need: Need, line: LineState, random: Random) -> Refuse | None:
+def refusal(need: Need, line: QueueState, random: Random) -> Refuse | None:
     """Return the refusal of a request that finds no capacity, or None if it may wait.
 
-    No request is refused while the drain rate is unknown. Requests of a workspace that has
+    No request is refused while the grant rate is unknown. Requests of a workspace that has
     its share already are refused as soon as the service is overloaded, before others. A retry
     at its given time is not refused for that again.
 
@@ -96,12 +96,12 @@
     ----------
     need : Need
         Resources and deadlines of the request.
-    line : LineState
+    line : QueueState
         State of the queue ahead of the request.
     random : random.Random
         Source of the jitter on retry times.
     """
-    if line.drain_tokens_per_s <= 0.0:
+    if line.granted_tokens_per_s <= 0.0:
         return None
     wait_s = expected_wait_s(need, line)
     if wait_s >= latest_start_s(need):
@@ -112,14 +112,14 @@
     return None
 
 
-def refuse(need: Need, line: LineState, reason: RefusalReason, random: Random) -> Refuse:
+def refuse(need: Need, line: QueueState, reason: RefusalReason, random: Random) -> Refuse:
     """Return a refusal with its retry time.
 
     Parameters
     ----------
     need : Need
         Resources and deadlines of the request.
-    line : LineState
+    line : QueueState
         State of the queue ahead of the request.
     reason : RefusalReason
         Reason of the refusal.
@@ -128,20 +128,20 @@
     """
     most_s = most_told_s(need)
     place_s = _slot_s(need, line) * (1.0 + SPREAD * random.random())
-    known = line.drain_tokens_per_s > 0.0
+    known = line.granted_tokens_per_s > 0.0
     if place_s <= most_s:
         return Refuse(max(LEAST_S, place_s), reason, kept=known)
     return Refuse(max(LEAST_S, most_s * (1.0 - SPREAD * random.random())), reason)
 
 
-def _slot_s(need: Need, line: LineState) -> float:
+def _slot_s(need: Need, line: QueueState) -> float:
     """Return the time until capacity can be reserved for a retry, in seconds.
 
     It comes after the retries for which capacity is reserved already.
     """
-    if line.drain_tokens_per_s <= 0.0:
+    if line.granted_tokens_per_s <= 0.0:
         return UNKNOWN_WAIT_S
-    promised_s = (line.told_tokens + need.tokens) / (PROMISED_SHARE * line.drain_tokens_per_s)
+    promised_s = (line.reserved_tokens + need.tokens) / (PROMISED_SHARE * line.granted_tokens_per_s)
     return max(expected_wait_s(need, line), promised_s)
 
 
--- a/reachlink/scheduling/_line.py
+++ b/reachlink/scheduling/_request_queue.py
@@ -30,22 +30,22 @@
 
 from msgspec import structs
 
-from reachlink.scheduling._drain import Drain
 from reachlink.scheduling._duration import latest_start_s, reading_s
-from reachlink.scheduling._line_state import LineState
+from reachlink.scheduling._grant_rate import GrantRate
 from reachlink.scheduling._need import Need
+from reachlink.scheduling._queue_state import QueueState
 from reachlink.scheduling._refusal import expected_wait_s
 from reachlink.scheduling._shares import WorkspaceShares
 
 # Maximum number of waiting requests, some 400 B each.
-MAX_WAITING = 512
+MAX_QUEUED = 512
 # Share of the granted memory that goes to less urgent requests while these wait.
 YIELDED_SHARE = 0.125
 # Time in which smaller requests may overtake a request, and the time after that in which
 # capacity is reserved for it, in seconds.
 PASSED_S = 0.4
 HELD_BACK_S = 1.0
-# Maximum number of classes whose drain rate is measured, some 200 B each.
+# Maximum number of classes whose grant rate is measured, some 200 B each.
 MAX_CLASSES = 64
 # A request is expected to become late if its expected wait exceeds its remaining time by this
 # factor.
@@ -57,7 +57,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting:
+class QueuedRequest:
     """A request in the queue.
 
     Attributes
@@ -91,12 +91,12 @@
         self._give_up_at = self.joined_at + latest_start_s(need)
 
     @property
-    def began_at(self) -> float:
+    def wait_started_at(self) -> float:
         """Monotonic time at which the caller's wait began, in seconds."""
         return self.joined_at - self.need.waited_s
 
     @property
-    def give_up_at(self) -> float:
+    def latest_start_at(self) -> float:
         """Latest monotonic time at which a start is of use to the caller, in seconds."""
         return self._give_up_at
 
@@ -119,38 +119,38 @@
         """Return whether it can only be late, at a monotonic time in seconds."""
         return now > self._in_time_until
 
-    def holds_back(self, now: float) -> bool:
+    def reserves_room(self, now: float) -> bool:
         """Return whether capacity is reserved for it, so that no smaller one may overtake it."""
         if self.passed_at is None:
             return False
         passed_s = now - self.passed_at
         return PASSED_S <= passed_s < PASSED_S + HELD_BACK_S
 
-    def note_passed(self, now: float) -> None:
+    def record_overtaken(self, now: float) -> None:
         """Record that a smaller request was granted capacity ahead of it."""
         if self.passed_at is None or now - self.passed_at >= PASSED_S + HELD_BACK_S:
             self.passed_at = now
 
 
-class Line:
+class RequestQueue:
     """Queue of one service, in one zone or over all zones.
 
     Examples
     --------
-    >>> line = Line()
+    >>> line = RequestQueue()
     >>> _ = line.join("r1", "e1", Need(tokens=4000, priority=5), 0.0, 1.0)
     >>> _ = line.join("r2", "e2", Need(tokens=4000, priority=1), 0.1, 1.0)
     >>> [waiting.request_id for waiting in line.order(0.2)]
     ['r2', 'r1']
     """
 
-    def __init__(self, max_waiting: int = MAX_WAITING) -> None:
+    def __init__(self, max_waiting: int = MAX_QUEUED) -> None:
         self._max_waiting = max_waiting
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._shares = WorkspaceShares()
-        self._drain = Drain()
-        # Drain rates by class: whether a request can only be late, and its priority.
-        self._drains: dict[_Class, Drain] = {}
+        self._rate = GrantRate()
+        # GrantRate rates by class: whether a request can only be late, and its priority.
+        self._class_rates: dict[_Class, GrantRate] = {}
         # Memory still to be granted to less urgent requests, in tokens.
         self._owed_tokens = 0.0
         self._places: dict[str, tuple[int, int]] = {}
@@ -163,7 +163,7 @@
     def __len__(self) -> int:
         return len(self._waiting)
 
-    def find(self, request_id: str) -> Waiting | None:
+    def find(self, request_id: str) -> QueuedRequest | None:
         """Return a request in the queue, or None."""
         return self._waiting.get(request_id)
 
@@ -171,13 +171,13 @@
         """Return how long the oldest request has been in this queue, in seconds."""
         return max((now - w.joined_at for w in self._waiting.values()), default=0.0)
 
-    def drain_tokens_per_s(self, now: float) -> float:
+    def granted_tokens_per_s(self, now: float) -> float:
         """Return the memory granted per second, in tokens; 0 if unknown."""
-        return self._drain.tokens_per_s(now)
+        return self._rate.tokens_per_s(now)
 
     def join(
         self, request_id: str, instance: str, need: Need, now: float, lease_s: float
-    ) -> Waiting:
+    ) -> QueuedRequest:
         """Add a request, or renew its lease; a request in the queue keeps its position.
 
         Parameters
@@ -193,38 +193,38 @@
         """
         waiting = self._waiting.get(request_id)
         if waiting is None:
-            waiting = Waiting(request_id, instance, need, now, now + lease_s)
+            waiting = QueuedRequest(request_id, instance, need, now, now + lease_s)
             self._waiting[request_id] = waiting
-            self._drain.on_waiting(now)
+            self._rate.on_waiting(now)
         waiting.instance = instance
         waiting.lease_until = now + lease_s
         return waiting
 
-    def leave(self, request_id: str, now: float) -> Waiting | None:
+    def leave(self, request_id: str, now: float) -> QueuedRequest | None:
         """Remove a request, and return it if it was in the queue."""
         waiting = self._waiting.pop(request_id, None)
         self._places.pop(request_id, None)
         if not self._waiting:
-            self._drain.on_empty(now)
+            self._rate.on_empty(now)
             self._owed_tokens = 0.0
         return waiting
 
-    def expire(self, now: float) -> list[Waiting]:
+    def expire(self, now: float) -> list[QueuedRequest]:
         """Remove and return requests whose lease has ended or that could not end in time."""
-        over = [w for w in self._waiting.values() if now >= min(w.lease_until, w.give_up_at)]
+        over = [w for w in self._waiting.values() if now >= min(w.lease_until, w.latest_start_at)]
         for waiting in over:
             self.leave(waiting.request_id, now)
         if self._waiting:
-            self._drain.on_waiting(now)
+            self._rate.on_waiting(now)
         self._note_classes(now)
         return over
 
-    def stand_still(self, now: float) -> None:
-        """Pause the drain rates while there is no replica: that time would distort them."""
-        for drain in (self._drain, *self._drains.values()):
-            drain.on_empty(now)
+    def pause_grant_rates(self, now: float) -> None:
+        """Pause the grant rates while there is no replica: that time would distort them."""
+        for rate in (self._rate, *self._class_rates.values()):
+            rate.on_empty(now)
 
-    def shed(self, now: float) -> Waiting | None:
+    def shed(self, now: float) -> QueuedRequest | None:
         """Remove and return one request if the queue is too long, or return None.
 
         Requests that can only be late are removed first, then the least urgent, then those of
@@ -235,9 +235,14 @@
             return None
         asked = self.asked_tokens(now)
 
-        def key(waiting: Waiting) -> tuple[bool, int, float, float]:
+        def key(waiting: QueuedRequest) -> tuple[bool, int, float, float]:
             need = waiting.need
-            return waiting.is_late(now), need.priority, asked[need.workspace], waiting.began_at
+            return (
+                waiting.is_late(now),
+                need.priority,
+                asked[need.workspace],
+                waiting.wait_started_at,
+            )
 
         return self.leave(max(self._waiting.values(), key=key).request_id, now)
 
@@ -251,7 +256,7 @@
             asked[name] += waiting.need.tokens
         return asked
 
-    def order(self, now: float) -> list[Waiting]:
+    def order(self, now: float) -> list[QueuedRequest]:
         """Return the requests in their order at a monotonic time in seconds."""
         found = sorted(self._waiting.values(), key=self._key(now))
         if not found:
@@ -263,29 +268,29 @@
             found.insert(0, yielded)
         return found
 
-    def head(self, now: float) -> Waiting | None:
+    def head(self, now: float) -> QueuedRequest | None:
         """Return the first request, or None if the queue is empty."""
         return next(iter(self.order(now)), None)
 
-    def granted(self, request_id: str, now: float) -> Waiting | None:
+    def grant(self, request_id: str, now: float) -> QueuedRequest | None:
         """Remove a request that starts, and return it if it was in the queue."""
         waiting = self._waiting.get(request_id)
         if waiting is None:
             return None
-        self._drain.on_waiting(now)
-        self._drain.on_granted(waiting.need.tokens)
-        drain = self._drains.get(_class_of(waiting, now))
-        if drain is not None:
-            drain.on_granted(waiting.need.tokens)
+        self._rate.on_waiting(now)
+        self._rate.on_granted(waiting.need.tokens)
+        rate = self._class_rates.get(_class_of(waiting, now))
+        if rate is not None:
+            rate.on_granted(waiting.need.tokens)
         self._shares.add(waiting.need.workspace, waiting.need.tokens, now)
         self._note_yielded(waiting)
         return self.leave(request_id, now)
 
-    def note_begun(self, need: Need, now: float) -> None:
+    def record_immediate_start(self, need: Need, now: float) -> None:
         """Record a request that started without waiting as a grant to its workspace."""
         self._shares.add(need.workspace, need.tokens, now)
 
-    def state_before(self, waiting: Waiting, now: float) -> LineState:
+    def state_ahead_of(self, waiting: QueuedRequest, now: float) -> QueueState:
         """Return the state of the queue ahead of a request."""
         if now - self._placed_at > PLACES_KEPT_S:
             self._note_places(now)
@@ -295,18 +300,20 @@
             if waiting.request_id in self._waiting:
                 self._places[waiting.request_id] = place
         over = self._asked.get(waiting.need.workspace, 0.0) > self._share
-        drain = self._class_drain(_class_of(waiting, now), now)
-        state = LineState(*place, drain, over_share=over)
+        rate = self._class_rate(_class_of(waiting, now), now)
+        state = QueueState(*place, rate, over_share=over)
         in_s = expected_wait_s(waiting.need, state)
         left_s = waiting.in_time_until - now
-        if waiting.is_late(now) or not state.drain_tokens_per_s or in_s <= SURELY * left_s:
+        if waiting.is_late(now) or not state.granted_tokens_per_s or in_s <= SURELY * left_s:
             return state
         late = self._state_before_late(waiting, state, now)
         late_in_s = expected_wait_s(waiting.need, late)
-        # Late requests never wait less; their drain rate may be unknown yet.
-        return late if late.drain_tokens_per_s and late_in_s > in_s else state
+        # Late requests never wait less; their grant rate may be unknown yet.
+        return late if late.granted_tokens_per_s and late_in_s > in_s else state
 
-    def _state_before_late(self, waiting: Waiting, state: LineState, now: float) -> LineState:
+    def _state_before_late(
+        self, waiting: QueuedRequest, state: QueueState, now: float
+    ) -> QueueState:
         """Return the state ahead of a request that becomes late before it starts.
 
         Once it is late, it waits behind the requests that are late already and behind those
@@ -314,27 +321,27 @@
         """
         late = (True, waiting.need.priority)
         left_s = waiting.in_time_until - now
-        drain = self._class_drain(late, now)
-        behind = max(0.0, state.ahead_tokens - left_s * state.drain_tokens_per_s)
-        tokens = self._class_tokens.get(late, 0) + behind + left_s * drain
-        return LineState(state.ahead, round(tokens), drain, over_share=state.over_share)
+        rate = self._class_rate(late, now)
+        behind = max(0.0, state.ahead_tokens - left_s * state.granted_tokens_per_s)
+        tokens = self._class_tokens.get(late, 0) + behind + left_s * rate
+        return QueueState(state.ahead, round(tokens), rate, over_share=state.over_share)
 
-    def _class_drain(self, its: _Class, now: float) -> float:
-        drain = self._drains.get(its)
-        return drain.tokens_per_s(now) if drain is not None else 0.0
+    def _class_rate(self, its: _Class, now: float) -> float:
+        rate = self._class_rates.get(its)
+        return rate.tokens_per_s(now) if rate is not None else 0.0
 
     def _note_classes(self, now: float) -> None:
-        """Update the drain rate of each class by whether requests of it wait."""
+        """Update the grant rate of each class by whether requests of it wait."""
         present = {_class_of(waiting, now) for waiting in self._waiting.values()}
-        for its in present - self._drains.keys():
-            if len(self._drains) >= MAX_CLASSES:
-                del self._drains[next(iter(self._drains))]
-            self._drains[its] = Drain()
-        for its, drain in self._drains.items():
+        for its in present - self._class_rates.keys():
+            if len(self._class_rates) >= MAX_CLASSES:
+                del self._class_rates[next(iter(self._class_rates))]
+            self._class_rates[its] = GrantRate()
+        for its, rate in self._class_rates.items():
             if its in present:
-                drain.on_waiting(now)
+                rate.on_waiting(now)
             else:
-                drain.on_empty(now)
+                rate.on_empty(now)
 
     def _note_places(self, now: float) -> None:
         self._places.clear()
@@ -345,17 +352,17 @@
             self._places[waiting.request_id] = (ahead, tokens)
             self._class_tokens[its] = tokens + waiting.need.tokens
         self._asked = self.asked_tokens(now)
-        self._share = self._shares.share(self._asked, self.drain_tokens_per_s(now), now)
+        self._share = self._shares.share(self._asked, self.granted_tokens_per_s(now), now)
         self._placed_at = now
 
-    def _place(self, waiting: Waiting, now: float) -> tuple[int, int]:
+    def _place(self, waiting: QueuedRequest, now: float) -> tuple[int, int]:
         key = self._key(now)
         own = key(waiting)
         its = _class_of(waiting, now)
         before = [w for w in self._waiting.values() if key(w) < own]
         return len(before), sum(w.need.tokens for w in before if _class_of(w, now) == its)
 
-    def _note_yielded(self, granted: Waiting) -> None:
+    def _note_yielded(self, granted: QueuedRequest) -> None:
         """Update the memory still to be granted to less urgent requests after a grant."""
         others = [w.need for w in self._waiting.values() if w is not granted]
         if any(need.priority > granted.need.priority for need in others):
@@ -365,20 +372,20 @@
         elif any(need.priority < granted.need.priority for need in others):
             self._owed_tokens = max(0.0, self._owed_tokens - granted.need.tokens)
 
-    def _key(self, now: float) -> Callable[[Waiting], tuple[bool, int, int, float, str]]:
+    def _key(self, now: float) -> Callable[[QueuedRequest], tuple[bool, int, int, float, str]]:
         ranks: dict[str, int] = {}
 
-        def key(waiting: Waiting) -> tuple[bool, int, int, float, str]:
+        def key(waiting: QueuedRequest) -> tuple[bool, int, int, float, str]:
             need = waiting.need
             rank = ranks.get(need.workspace)
             if rank is None:
                 rank = ranks[need.workspace] = self._shares.rank(need.workspace, now)
             late = waiting.is_late(now)
-            return late, need.priority, rank, waiting.began_at, waiting.request_id
+            return late, need.priority, rank, waiting.wait_started_at, waiting.request_id
 
         return key
 
 
-def _class_of(waiting: Waiting, now: float) -> _Class:
+def _class_of(waiting: QueuedRequest, now: float) -> _Class:
     """Return the class of a request: whether it can only be late, and its priority."""
     return waiting.is_late(now), waiting.need.priority
--- a/reachlink/scheduling/_returns.py
+++ b/reachlink/scheduling/_returns.py
@@ -104,16 +104,16 @@
         self._promises: dict[int, Promise] = {}
         # Heap of the expiry times; it holds those of claimed reservations for a while.
         self._ends: list[tuple[float, int]] = []
-        self._told_tokens: Counter[str] = Counter()
+        self._reserved_tokens: Counter[str] = Counter()
         self._of_workspace: Counter[tuple[str, str]] = Counter()
 
     def __len__(self) -> int:
         return len(self._promises)
 
-    def told_tokens(self, service: str, now: float) -> int:
+    def reserved_tokens(self, service: str, now: float) -> int:
         """Return the memory of a service that is reserved for retries, in tokens."""
         self._drop_ended(now)
-        return self._told_tokens[service]
+        return self._reserved_tokens[service]
 
     def promise(
         self, fingerprint: int, service: str, need: Need, refuse: Refuse, now: float
@@ -247,7 +247,7 @@
             self._drop_first()
         self._promises[promise.fingerprint] = promise
         heapq.heappush(self._ends, (promise.until, promise.fingerprint))
-        self._told_tokens[promise.service] += promise.tokens if promise.place else 0
+        self._reserved_tokens[promise.service] += promise.tokens if promise.place else 0
         self._of_workspace[promise.service, promise.workspace] += 1
 
     def _forget(self, fingerprint: int) -> None:
@@ -258,7 +258,7 @@
 
     def _remove(self, promise: Promise) -> None:
         del self._promises[promise.fingerprint]
-        self._told_tokens[promise.service] -= promise.tokens if promise.place else 0
+        self._reserved_tokens[promise.service] -= promise.tokens if promise.place else 0
         of_workspace = (promise.service, promise.workspace)
         self._of_workspace[of_workspace] -= 1
         if not self._of_workspace[of_workspace]:
--- a/reachlink/scheduling/_start.py
+++ b/reachlink/scheduling/_start.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from reachlink.scheduling._choice import choose
-from reachlink.scheduling._line_state import NO_LINE, LineState
 from reachlink.scheduling._need import Need
 from reachlink.scheduling._option import Option
+from reachlink.scheduling._queue_state import EMPTY_QUEUE, QueueState
 from reachlink.scheduling._refusal import Refuse, expected_wait_s, refusal
 from reachlink.scheduling._terms import REQUEST, Terms
 
@@ -52,7 +52,7 @@
     options: Sequence[Option],
     need: Need,
     random: Random,
-    line: LineState = NO_LINE,
+    line: QueueState = EMPTY_QUEUE,
     terms: Terms = REQUEST,
 ) -> Start:
     """Return where and when a request starts, or its refusal.
@@ -65,7 +65,7 @@
         Resources and deadlines of the request.
     random : random.Random
         Source of random numbers for drawing and for breaking ties.
-    line : LineState
+    line : QueueState
         State of the queue ahead of the request.
     terms : Terms
         Rules by which the memory of engines is given.
--- a/reachlink/scheduling/tests/crowd.py
+++ b/reachlink/scheduling/tests/crowd.py
@@ -9,10 +9,10 @@
 from reachlink.scheduling import (
     IN_LINE,
     Begin,
-    Line,
     Need,
     Option,
     RefusalReason,
+    RequestQueue,
     Terms,
     Wait,
     best_start,
@@ -342,7 +342,7 @@
     terms: Terms = IN_LINE
     # Whether who asks for more than its share is refused first.
     by_shares: bool = True
-    line: Line = field(default_factory=Line)
+    line: RequestQueue = field(default_factory=RequestQueue)
     waiting: dict[str, Asked] = field(default_factory=dict)
     # Reason and workspace of those who were refused on arrival, and whether a place was free.
     refused: Counter[tuple[RefusalReason, str, bool]] = field(default_factory=Counter)
@@ -353,18 +353,18 @@
         if not len(self.line):
             name = choose(crowd.options(), asked.tokens, crowd.random, self.terms)
             if name is not None:
-                self.line.note_begun(asked.need(now), now)
+                self.line.record_immediate_start(asked.need(now), now)
                 crowd.begin(asked, name)
                 return
         waiting = self.line.join(asked.name, "e1", asked.need(now), now, 1e9)
         self.waiting[asked.name] = asked
         shed = self.line.shed(now)
         if shed is not None:
-            state = self.line.state_before(shed, now)
+            state = self.line.state_ahead_of(shed, now)
             crowd.refuse(self.waiting.pop(shed.request_id), expected_wait_s(shed.need, state))
         if shed is waiting:
             return
-        state = self.line.state_before(waiting, now)
+        state = self.line.state_ahead_of(waiting, now)
         if not self.by_shares:
             state = replace(state, over_share=False)
         start = best_start(crowd.options(), waiting.need_at(now), crowd.random, state, self.terms)
@@ -391,14 +391,14 @@
                 name = choose(options, waiting.need.tokens, crowd.random, self.terms)
             if name is not None:
                 if passed is not None:
-                    passed.note_passed(crowd.now)
-                self.line.granted(waiting.request_id, crowd.now)
+                    passed.record_overtaken(crowd.now)
+                self.line.grant(waiting.request_id, crowd.now)
                 crowd.begin(self.waiting.pop(waiting.request_id), name)
                 return True
             least = min(least, waiting.need.tokens)
             if passed is None:
                 passed = waiting
-                if passed.holds_back(crowd.now):
+                if passed.reserves_room(crowd.now):
                     return False
         return False
 
--- a/reachlink/scheduling/tests/test_line.py
+++ b/reachlink/scheduling/tests/test_line.py
@@ -5,31 +5,31 @@
 import msgspec
 import pytest
 
-from reachlink.scheduling import Line, Need, Refuse, Wait, best_start, expected_wait_s
-from reachlink.scheduling._line import HELD_BACK_S, MAX_CLASSES, PASSED_S, YIELDED_SHARE
+from reachlink.scheduling import Need, Refuse, RequestQueue, Wait, best_start, expected_wait_s
+from reachlink.scheduling._request_queue import HELD_BACK_S, MAX_CLASSES, PASSED_S, YIELDED_SHARE
 from reachlink.scheduling._shares import MAX_WORKSPACES, WorkspaceShares
 
 LEASE_S = 10.0
 USUAL = Need(tokens=4000, prompt_tokens=3000, first_by_s=4.0, give_up_in_s=39.0)
 
 
-def join(line: Line, name: str, now: float = 0.0, **changes: object) -> None:
+def join(line: RequestQueue, name: str, now: float = 0.0, **changes: object) -> None:
     line.join(name, "e1", msgspec.structs.replace(USUAL, **changes), now, LEASE_S)
 
 
-def names(line: Line, now: float) -> list[str]:
+def names(line: RequestQueue, now: float) -> list[str]:
     return [waiting.request_id for waiting in line.order(now)]
 
 
 def test_among_equals_the_oldest_goes_first():
-    line = Line()
+    line = RequestQueue()
     join(line, "second", 0.2)
     join(line, "first", 0.1)
     assert names(line, 0.3) == ["first", "second"]
 
 
 def test_who_asks_again_keeps_its_age():
-    line = Line()
+    line = RequestQueue()
     join(line, "first", 0.0)
     join(line, "second", 0.1)
     join(line, "first", 0.5)
@@ -38,103 +38,103 @@
 
 
 def test_who_comes_back_counts_with_the_age_of_its_tries():
-    line = Line()
+    line = RequestQueue()
     join(line, "new", 0.0)
     join(line, "back", 0.1, waited_s=3.0, returner=True)
     assert names(line, 0.2) == ["back", "new"]
 
 
 def test_who_can_still_be_in_time_goes_before_who_can_only_be_late():
-    line = Line()
+    line = RequestQueue()
     join(line, "late", 0.0, first_by_s=-1.0, priority=0)
     join(line, "in time", 0.1)
     assert names(line, 0.2) == ["in time", "late"]
 
 
 def test_one_whose_prompt_takes_longer_to_read_than_it_has_can_only_be_late():
-    line = Line()
+    line = RequestQueue()
     join(line, "long prompt", 0.0, first_by_s=0.3)
     join(line, "short prompt", 0.1, first_by_s=0.3, prompt_tokens=100)
     assert names(line, 0.1) == ["short prompt", "long prompt"]
 
 
 def test_the_more_urgent_goes_first():
-    line = Line()
+    line = RequestQueue()
     join(line, "usual", 0.0)
     join(line, "urgent", 0.1, priority=1)
     assert names(line, 0.2) == ["urgent", "usual"]
 
 
 def test_the_workspace_that_was_granted_least_goes_first():
-    line = Line()
+    line = RequestQueue()
     for number in range(3):
         join(line, f"large-{number}", 0.0, workspace="large")
-        line.granted(f"large-{number}", 0.0)
+        line.grant(f"large-{number}", 0.0)
     join(line, "large", 0.1, workspace="large")
     join(line, "small", 0.2, workspace="small")
     assert names(line, 0.3) == ["small", "large"]
 
 
 def test_what_was_granted_long_ago_counts_no_more():
-    line = Line()
+    line = RequestQueue()
     join(line, "large-0", 0.0, workspace="large")
-    line.granted("large-0", 0.0)
+    line.grant("large-0", 0.0)
     join(line, "large", 300.0, workspace="large")
     join(line, "small", 300.1, workspace="small")
     assert names(line, 300.2) == ["large", "small"]
 
 
 def test_what_began_without_a_wait_counts_for_its_workspace():
-    line = Line()
-    line.note_begun(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
-    line.note_begun(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
+    line = RequestQueue()
+    line.record_immediate_start(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
+    line.record_immediate_start(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
     join(line, "large", 0.0, workspace="large")
     join(line, "small", 0.1, workspace="small")
     assert names(line, 0.2) == ["small", "large"]
 
 
 def test_the_less_urgent_get_their_part_whatever_the_urgent_ask_for():
-    line = Line()
+    line = RequestQueue()
     granted = {1: 0, 5: 0}
     for number in range(400):
         now = number * 0.01
         for priority in (1, 5):
             join(line, f"{priority}-{number}", now, priority=priority)
         head = line.head(now)
-        line.granted(head.request_id, now)
+        line.grant(head.request_id, now)
         granted[head.need.priority] += head.need.tokens
     part = granted[5] / sum(granted.values())
     assert part == pytest.approx(YIELDED_SHARE, abs=0.03)
 
 
 def test_what_the_less_urgent_are_owed_is_not_kept_while_none_waits():
-    line = Line()
+    line = RequestQueue()
     for number in range(100):
         join(line, f"urgent-{number}", 0.0, priority=1)
     for number in range(99):
-        line.granted(f"urgent-{number}", 0.1)
+        line.grant(f"urgent-{number}", 0.1)
     join(line, "usual", 0.2)
     assert names(line, 0.3) == ["urgent-99", "usual"]
 
 
 def test_one_that_was_passed_for_long_holds_room_back_for_a_while():
-    line = Line()
+    line = RequestQueue()
     join(line, "large", 0.0, tokens=20_000)
     waiting = line.find("large")
-    assert not waiting.holds_back(0.1)
-    waiting.note_passed(0.1)
-    waiting.note_passed(0.3)
-    assert not waiting.holds_back(0.1 + 0.9 * PASSED_S)
-    assert waiting.holds_back(0.1 + PASSED_S)
+    assert not waiting.reserves_room(0.1)
+    waiting.record_overtaken(0.1)
+    waiting.record_overtaken(0.3)
+    assert not waiting.reserves_room(0.1 + 0.9 * PASSED_S)
+    assert waiting.reserves_room(0.1 + PASSED_S)
     over_at = 0.1 + PASSED_S + HELD_BACK_S
-    assert not waiting.holds_back(over_at)
-    waiting.note_passed(over_at)
-    assert not waiting.holds_back(over_at)
-    assert waiting.holds_back(over_at + 1.01 * PASSED_S)
+    assert not waiting.reserves_room(over_at)
+    waiting.record_overtaken(over_at)
+    assert not waiting.reserves_room(over_at)
+    assert waiting.reserves_room(over_at + 1.01 * PASSED_S)
 
 
 def test_who_is_not_asked_for_any_more_stands_in_line_no_longer():
-    line = Line()
+    line = RequestQueue()
     join(line, "gone", 0.0)
     join(line, "there", 0.0)
     join(line, "there", 5.0)
@@ -143,18 +143,18 @@
 
 
 def test_nobody_stands_in_line_who_could_not_end_before_its_caller_leaves():
-    line = Line()
+    line = RequestQueue()
     join(line, "id-1", 0.0, give_up_in_s=9.0)
-    runs_s = 9.0 - line.find("id-1").give_up_at
+    runs_s = 9.0 - line.find("id-1").latest_start_at
     # A thousand tokens at 8 ms each, and a prompt, but not more than half of its time.
     assert runs_s == pytest.approx(4.5)
     join(line, "id-2", 0.0, give_up_in_s=30.0)
-    assert 19.0 < line.find("id-2").give_up_at < 22.0
+    assert 19.0 < line.find("id-2").latest_start_at < 22.0
     assert [w.request_id for w in line.expire(4.6)] == ["id-1"]
 
 
 def test_a_line_too_long_loses_the_youngest_of_the_late_first():
-    line = Line(max_waiting=3)
+    line = RequestQueue(max_waiting=3)
     join(line, "late old", 0.0, first_by_s=-1.0)
     join(line, "late young", 0.1, first_by_s=-1.0)
     join(line, "usual", 0.2)
@@ -166,7 +166,7 @@
 
 
 def test_without_late_ones_a_line_too_long_loses_the_youngest_of_the_least_urgent():
-    line = Line(max_waiting=2)
+    line = RequestQueue(max_waiting=2)
     join(line, "usual old", 0.0)
     join(line, "usual young", 0.1)
     join(line, "urgent", 0.2, priority=1)
@@ -174,7 +174,7 @@
 
 
 def test_a_large_workspace_does_not_fill_the_line():
-    line = Line(max_waiting=6)
+    line = RequestQueue(max_waiting=6)
     for number in range(6):
         join(line, f"large-{number}", 0.1 * number, workspace="large")
     for number in range(3):
@@ -183,9 +183,9 @@
 
 
 def test_a_workspace_that_was_granted_most_makes_place_where_the_line_is_too_long():
-    line = Line(max_waiting=2)
+    line = RequestQueue(max_waiting=2)
     for _ in range(3):
-        line.note_begun(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
+        line.record_immediate_start(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
     join(line, "large", 0.0, workspace="large")
     join(line, "small", 0.1, workspace="small")
     join(line, "other", 0.2, workspace="other")
@@ -193,70 +193,70 @@
 
 
 def test_who_leaves_is_no_longer_before_others():
-    line = Line()
+    line = RequestQueue()
     join(line, "first", 0.0)
     join(line, "second", 0.1)
-    assert line.state_before(line.find("second"), 0.1).ahead == 1
+    assert line.state_ahead_of(line.find("second"), 0.1).ahead == 1
     assert line.leave("first", 0.2).request_id == "first"
     assert line.leave("first", 0.2) is None
-    assert line.state_before(line.find("second"), 0.5).ahead == 0
+    assert line.state_ahead_of(line.find("second"), 0.5).ahead == 0
 
 
-def drained(line: Line, per_s: int, until: float = 5.0, **changes: object) -> None:
+def drained(line: RequestQueue, per_s: int, until: float = 5.0, **changes: object) -> None:
     """Have so many usual requests wait and be granted each second, with one left waiting."""
     join(line, "last", 0.0, **changes)
     for number in range(int(per_s * until)):
         now = number / per_s
         join(line, f"n{number}", now, **changes)
         line.expire(now)
-        line.granted(f"n{number}", now)
+        line.grant(f"n{number}", now)
 
 
 def test_how_long_a_request_waits_is_told_by_what_goes_first_and_how_fast_room_comes():
-    line = Line()
+    line = RequestQueue()
     drained(line, 10, first_by_s=100.0)
     join(line, "id-1", 5.0, first_by_s=100.0)
-    state = line.state_before(line.find("id-1"), 5.0)
+    state = line.state_ahead_of(line.find("id-1"), 5.0)
     assert (state.ahead, state.ahead_tokens) == (1, 4000)
-    assert state.drain_tokens_per_s == pytest.approx(40_000, rel=0.1)
+    assert state.granted_tokens_per_s == pytest.approx(40_000, rel=0.1)
 
 
 def test_the_less_urgent_are_told_by_what_their_own_have_got():
-    line = Line()
+    line = RequestQueue()
     join(line, "usual", 0.0, first_by_s=100.0)
     drained(line, 10, priority=1)
     join(line, "id-1", 5.0, first_by_s=100.0)
-    state = line.state_before(line.find("id-1"), 5.0)
-    assert state.drain_tokens_per_s < 2000
+    state = line.state_ahead_of(line.find("id-1"), 5.0)
+    assert state.granted_tokens_per_s < 2000
 
 
 def test_who_would_begin_late_is_told_by_what_late_ones_have_got():
-    line = Line()
+    line = RequestQueue()
     join(line, "late", 0.0, first_by_s=-1.0)
     for number in range(60):
         join(line, f"waits-{number}", 0.0, first_by_s=100.0)
     drained(line, 2, first_by_s=100.0)
     join(line, "id-1", 5.0, first_by_s=4.0)
-    state = line.state_before(line.find("id-1"), 5.0)
-    assert state.drain_tokens_per_s < 2000
+    state = line.state_ahead_of(line.find("id-1"), 5.0)
+    assert state.granted_tokens_per_s < 2000
     # It becomes late first, and those before it that will be late go before it then.
     assert expected_wait_s(USUAL, state) > 120.0
 
 
 def test_nobody_is_refused_for_a_wait_that_is_not_known():
-    line = Line()
+    line = RequestQueue()
     for number in range(50):
         join(line, f"waits-{number}", 0.0)
-    state = line.state_before(line.find("waits-49"), 0.0)
+    state = line.state_ahead_of(line.find("waits-49"), 0.0)
     assert isinstance(best_start([], USUAL, Random(1), state), Wait)
 
 
 def test_who_cannot_begin_while_its_caller_waits_is_refused_on_arrival():
-    line = Line()
+    line = RequestQueue()
     drained(line, 1)
     for number in range(60):
         join(line, f"waits-{number}", 5.0)
-    state = line.state_before(line.find("waits-59"), 5.0)
+    state = line.state_ahead_of(line.find("waits-59"), 5.0)
     start = best_start([], USUAL, Random(1), state)
     assert isinstance(start, Refuse)
     assert expected_wait_s(USUAL, state) > USUAL.give_up_in_s
@@ -266,7 +266,7 @@
 
 
 def test_how_fast_room_came_in_a_crowd_long_ago_says_nothing_of_this_one():
-    line = Line()
+    line = RequestQueue()
     for number in range(5):
         join(line, f"stuck-{number}", 0.0, first_by_s=100.0)
     for tenth in range(60):
@@ -277,36 +277,36 @@
     for number in range(10):
         join(line, f"waits-{number}", 600.0, first_by_s=100.0)
         line.expire(600.0)
-    state = line.state_before(line.find("waits-9"), 600.0)
+    state = line.state_ahead_of(line.find("waits-9"), 600.0)
     assert isinstance(best_start([], USUAL, Random(1), state), Wait)
 
 
 def test_a_crowd_that_pauses_for_a_moment_is_still_known():
-    line = Line()
+    line = RequestQueue()
     drained(line, 10, first_by_s=100.0)
     line.leave("last", 5.0)
     line.expire(5.0)
     join(line, "id-1", 5.5, first_by_s=100.0)
-    state = line.state_before(line.find("id-1"), 5.5)
-    assert state.drain_tokens_per_s == pytest.approx(40_000, rel=0.15)
+    state = line.state_ahead_of(line.find("id-1"), 5.5)
+    assert state.granted_tokens_per_s == pytest.approx(40_000, rel=0.15)
 
 
 def test_who_asks_for_more_than_its_share_of_what_comes_is_known():
-    line = Line()
+    line = RequestQueue()
     drained(line, 1, workspace="other", first_by_s=100.0)
     for number in range(30):
         join(line, f"large-{number}", 5.0, workspace="large", first_by_s=100.0)
     join(line, "small", 5.0, workspace="small", first_by_s=100.0)
     large, small = (line.find(name) for name in ("large-29", "small"))
-    assert line.state_before(large, 5.2).over_share
-    assert not line.state_before(small, 5.2).over_share
+    assert line.state_ahead_of(large, 5.2).over_share
+    assert not line.state_ahead_of(small, 5.2).over_share
 
 
 def test_nobody_is_over_its_share_while_it_is_not_known_how_fast_room_comes():
-    line = Line()
+    line = RequestQueue()
     for number in range(100):
         join(line, f"large-{number}", 0.0, workspace="large")
-    assert not line.state_before(line.find("large-99"), 0.2).over_share
+    assert not line.state_ahead_of(line.find("large-99"), 0.2).over_share
 
 
 def test_a_name_is_kept_for_a_bounded_number_of_workspaces():
@@ -319,17 +319,17 @@
 
 
 def test_a_bounded_number_of_urgencies_is_measured():
-    line = Line()
+    line = RequestQueue()
     for number in range(3 * MAX_CLASSES):
         join(line, f"id-{number}", 0.0, priority=number)
     line.expire(0.1)
-    assert len(line._drains) == MAX_CLASSES
+    assert len(line._class_rates) == MAX_CLASSES
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_whatever_comes_and_goes_nobody_is_lost_or_there_twice(seed):
     random = Random(seed)
-    line = Line(max_waiting=20)
+    line = RequestQueue(max_waiting=20)
     there: set[str] = set()
     for number in range(2000):
         now = number * 0.01
@@ -340,7 +340,7 @@
             shed = line.shed(now)
             if shed is not None:
                 there.remove(shed.request_id)
-        elif line.granted(name, now) is not None or line.leave(name, now) is not None:
+        elif line.grant(name, now) is not None or line.leave(name, now) is not None:
             there.remove(name)
         there.difference_update(w.request_id for w in line.expire(now))
         order = names(line, now)
--- a/reachlink/scheduling/tests/test_refusal.py
+++ b/reachlink/scheduling/tests/test_refusal.py
@@ -6,8 +6,8 @@
 import pytest
 
 from reachlink.scheduling import (
-    LineState,
     Need,
+    QueueState,
     RefusalReason,
     equal_share,
     expected_wait_s,
@@ -22,10 +22,10 @@
 NEED = Need(tokens=2000, prompt_tokens=1000, first_by_s=4.0, give_up_in_s=39.0)
 
 
-def line(wait_s: float, told_tokens: int = 0, over_share: bool = False) -> LineState:
+def line(wait_s: float, told_tokens: int = 0, over_share: bool = False) -> QueueState:
     """Return the line in which `NEED` waits for so long."""
     ahead_tokens = round(wait_s * DRAIN) - NEED.tokens
-    return LineState(5, ahead_tokens, DRAIN, told_tokens, over_share)
+    return QueueState(5, ahead_tokens, DRAIN, told_tokens, over_share)
 
 
 def changed(need: Need = NEED, **fields: object) -> Need:
@@ -46,7 +46,7 @@
 
 
 def test_nobody_is_refused_for_a_wait_that_nobody_has_measured():
-    unknown = LineState(500, 10_000_000)
+    unknown = QueueState(500, 10_000_000)
     assert refusal(NEED, unknown, Random(1)) is None
     assert refuse(NEED, unknown, RefusalReason.LINE_FULL, Random(1)).kept is False
 
@@ -88,7 +88,7 @@
 @pytest.mark.parametrize("reason", list(RefusalReason))
 def test_times_are_finite_and_bounded(drain, give_up_in_s, reason):
     need = changed(give_up_in_s=give_up_in_s)
-    state = LineState(10, 100_000, drain, 50_000)
+    state = QueueState(10, 100_000, drain, 50_000)
     assert math.isfinite(expected_wait_s(need, state))
     told_s = refuse(need, state, reason, Random(1)).come_back_in_s
     assert rules.LEAST_S <= told_s <= rules.MOST_S
--- a/reachlink/scheduling/tests/test_return_load.py
+++ b/reachlink/scheduling/tests/test_return_load.py
@@ -15,10 +15,10 @@
 
 from reachlink.scheduling import (
     Begin,
-    LineState,
     Need,
     Option,
     Promise,
+    QueueState,
     RefusalReason,
     Refuse,
     ReturnBook,
@@ -214,21 +214,21 @@
             return Begin(name) if name is not None else Wait(0.0)
         return best_start(self._options(), need, self.random, self._line_state(caller, need))
 
-    def _line_state(self, caller: Caller, need: Need) -> LineState:
+    def _line_state(self, caller: Caller, need: Need) -> QueueState:
         order = self._order(caller)
         ahead = [c for c in self.line if self._order(c) < order]
         drain = sum(tokens for _, tokens in self.freed) / DRAIN_OVER_S
-        state = LineState(len(ahead), sum(c.tokens for c in ahead), drain)
+        state = QueueState(len(ahead), sum(c.tokens for c in ahead), drain)
         if self.way is Way.DRAIN_ALONE:
             return state
-        told = self.book.told_tokens(SERVICE, self.now)
+        told = self.book.reserved_tokens(SERVICE, self.now)
         asked = self.has.copy()
         for waiting in self.line:
             if not self._is_late(waiting):
                 asked[waiting.workspace] += waiting.tokens
         asked[need.workspace] += need.tokens
         over = is_over_share(need.workspace, asked, ROOM_TOKENS)
-        return LineState(state.ahead, state.ahead_tokens, drain, told, over)
+        return QueueState(state.ahead, state.ahead_tokens, drain, told, over)
 
     def _settle(self, caller: Caller, start: Start, need: Need | None = None) -> None:
         if self.way is Way.PLACE_KEPT:
--- a/reachlink/scheduling/tests/test_returns.py
+++ b/reachlink/scheduling/tests/test_returns.py
@@ -81,7 +81,7 @@
         promise = book.take(fingerprint, 104.0)
         book.settle(promise, fingerprint, "chat", with_return(NEED, promise, 104.0), start, 104.0)
     tell(book, 5)
-    book.told_tokens("chat", 200.0)
+    book.reserved_tokens("chat", 200.0)
     counts = book.counts
     # The one that was refused again was promised a place again, and did not come.
     assert (counts.kept, counts.broken, counts.not_taken_up) == (2, 1, 2)
@@ -91,10 +91,10 @@
 def test_who_comes_early_and_begins_leaves_no_place_behind(book):
     tell(book)
     assert book.settle(None, ONE, "chat", NEED, Wait(1.0), 101.0) == Wait(1.0)
-    assert book.told_tokens("chat", 101.0) == NEED.tokens
+    assert book.reserved_tokens("chat", 101.0) == NEED.tokens
     assert book.settle(None, ONE, "chat", NEED, Begin("r"), 101.0) == Begin("r")
-    assert book.told_tokens("chat", 101.0) == 0
-    book.told_tokens("chat", 200.0)
+    assert book.reserved_tokens("chat", 101.0) == 0
+    book.reserved_tokens("chat", 200.0)
     assert book.counts.not_taken_up == 0
 
 
@@ -102,7 +102,7 @@
     tell(book)
     promise = book.take(ONE, 104.0)
     book.give_back(promise, 110.0)
-    assert book.told_tokens("chat", 110.0) == NEED.tokens
+    assert book.reserved_tokens("chat", 110.0) == NEED.tokens
     need = with_return(NEED, book.take(ONE, 110.1), 110.1)
     assert need.returner
     assert need.waited_s == pytest.approx(10.6)
@@ -112,7 +112,7 @@
 
 def test_a_time_without_a_place_is_no_promise_of_one(book):
     tell(book, refuse=NO_PLACE)
-    assert book.told_tokens("chat", 100.0) == 0
+    assert book.reserved_tokens("chat", 100.0) == 0
     promise = book.take(ONE, 104.0)
     assert with_return(NEED, promise, 104.0).returner
     book.settle(promise, ONE, "chat", NEED, NO_PLACE, 104.0)
@@ -122,11 +122,11 @@
 def test_memory_for_those_who_were_told_is_counted_until_they_come_or_are_late(book):
     tell(book, ONE)
     tell(book, OTHER)
-    assert book.told_tokens("chat", 101.0) == 2 * NEED.tokens
-    assert book.told_tokens("other", 101.0) == 0
+    assert book.reserved_tokens("chat", 101.0) == 2 * NEED.tokens
+    assert book.reserved_tokens("other", 101.0) == 0
     book.take(ONE, 103.0)
-    assert book.told_tokens("chat", 103.0) == NEED.tokens
-    assert book.told_tokens("chat", 120.0) == 0
+    assert book.reserved_tokens("chat", 103.0) == NEED.tokens
+    assert book.reserved_tokens("chat", 120.0) == 0
 
 
 def test_the_age_of_who_is_refused_again_and_again_grows_up_to_a_bound(book):
--- a/reachlink/scheduling/tests/test_start.py
+++ b/reachlink/scheduling/tests/test_start.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.scheduling import Begin, LineState, Need, Option, Refuse, Wait, best_start
+from reachlink.scheduling import Begin, Need, Option, QueueState, Refuse, Wait, best_start
 
 RANDOM = Random(3)
 FULL = Option("full", near=True, running=8, slots=24, tokens=26_000, capacity_tokens=26_900)
@@ -17,13 +17,13 @@
 
 
 def test_it_waits_for_room_that_comes_in_its_time():
-    start = best_start([FULL], NEED, RANDOM, LineState(2, 7400, drain_tokens_per_s=3700.0))
+    start = best_start([FULL], NEED, RANDOM, QueueState(2, 7400, granted_tokens_per_s=3700.0))
     assert isinstance(start, Wait)
     assert start.in_s == pytest.approx(3.0)
 
 
 def test_it_is_refused_at_once_where_room_comes_too_late():
-    start = best_start([FULL], NEED, RANDOM, LineState(40, 148_000, drain_tokens_per_s=3700.0))
+    start = best_start([FULL], NEED, RANDOM, QueueState(40, 148_000, granted_tokens_per_s=3700.0))
     assert isinstance(start, Refuse)
     # Its place would come in 41 s; no caller keeps to more than a third of its 39 s.
     assert 13.0 * 0.9 <= start.come_back_in_s <= 13.0
@@ -31,7 +31,7 @@
 
 
 def test_who_comes_later_does_not_pass_those_who_wait():
-    start = best_start([FREE], NEED, RANDOM, LineState(2, 7400, drain_tokens_per_s=3700.0))
+    start = best_start([FREE], NEED, RANDOM, QueueState(2, 7400, granted_tokens_per_s=3700.0))
     assert isinstance(start, Wait)
 
 
@@ -42,5 +42,5 @@
 
 
 def test_nobody_is_refused_while_a_place_is_free():
-    line = LineState(40, 148_000, drain_tokens_per_s=3700.0)
+    line = QueueState(40, 148_000, granted_tokens_per_s=3700.0)
     assert isinstance(best_start([FULL, FREE], NEED, RANDOM, line), Wait)
