--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -198,7 +198,7 @@
     async def place_copy(instance: Instance):
         answer = await instance.member.ask(question(1_000, Purpose.RESCUE))
         assert answer is not None
-        return instance.placing._named(answer)
+        return instance.placing._replica_of(answer)
 
     found = asyncio.run(play())
     assert {r.name for r in found if r is not None} <= {"r2"}
--- a/reachlink/requests/_book.py
+++ b/reachlink/requests/_book.py
@@ -10,7 +10,7 @@
 
 from reachlink.placement import Health
 from reachlink.requests._load_notes import (
-    JOIN_SETTLES_S,
+    RESUME_TOLERANCE_S,
     MemoryNote,
     ReplicaNews,
     ReplicaOutcome,
@@ -20,15 +20,15 @@
 from reachlink.upstreams import LoadSample
 
 # Age in seconds beyond which a load sample is ignored as out of date.
-SAMPLE_KEPT_S = 1.0
+MAX_SAMPLE_AGE_S = 1.0
 # Age in seconds beyond which the used memory of a report is ignored as out of date.
-REPORT_KEPT_S = 1.0
+MAX_REPORT_AGE_S = 1.0
 # How long the allowance that a coordinator sent for a replica is valid, in seconds.
 # Coordinators send it about once a second.
-ALLOWANCE_KEPT_S = 2.5
+MAX_ALLOWANCE_AGE_S = 2.5
 # Maximum number of outcomes queued for the next message to a coordinator. With one request
 # and one message per second, the queue holds one or two.
-MAX_OUTCOMES = 64
+MAX_QUEUED_OUTCOMES = 64
 
 
 @dataclass(slots=True, eq=False)
@@ -63,8 +63,8 @@
         Whether it is a running generation that no other replica has a copy of, and that
         is long enough to be copied before its replica leaves. Updated at each check.
     stake : int
-        Work that is lost if the generation is lost, weighted by risk (`Outlook.stake`);
-        updated at each check.
+        Work that is lost if the generation is lost, weighted by risk
+        (`GenerationProgress.expected_loss`). Updated at each check.
     joins_at : float, optional
         Monotonic time in seconds at which the generation is expected to resume here
         because its primary leaves. Only for copies.
@@ -110,7 +110,7 @@
         Last load sample that the replica sent with an answer.
     sampled_at : float
         Monotonic time in seconds at which `sample` was received.
-    own_at_sample : int
+    own_running_at_sample : int
         Number of this instance's running requests at the replica at `sampled_at`.
     told_allowance : float
         Share of its usual load, from 0 to 1, that the replica may get according to a
@@ -125,7 +125,7 @@
     reported_at: float = float("-inf")
     sample: LoadSample | None = None
     sampled_at: float = float("-inf")
-    own_at_sample: int = 0
+    own_running_at_sample: int = 0
     told_allowance: float = 1.0
     told_at: float = float("-inf")
 
@@ -140,7 +140,7 @@
         return sum(flight.used_tokens for flight in self.flights if not flight.gives_way)
 
     @property
-    def own_copies(self) -> tuple[MemoryNote, ...]:
+    def own_evictable_copies(self) -> tuple[MemoryNote, ...]:
         """Summaries of this instance's own evictable copies."""
         return tuple(flight.note for flight in self.flights if flight.gives_way)
 
@@ -150,12 +150,12 @@
         return sum(flight.unread_tokens for flight in self.flights)
 
     @property
-    def own_uncovered(self) -> tuple[MemoryNote, ...]:
+    def own_unreplicated(self) -> tuple[MemoryNote, ...]:
         """Summaries of this instance's own generations that no other replica has a copy of."""
         return tuple(flight.note for flight in self.flights if flight.uncovered)
 
     @property
-    def own_arriving(self) -> int:
+    def own_pending_transfers(self) -> int:
         """Number of this instance's copies whose first transfer has not ended."""
         return sum(1 for flight in self.flights if flight.arriving)
 
@@ -169,34 +169,34 @@
         """Monotonic time in seconds of its last report or load sample, whichever is later."""
         return max(self.reported_at, self.sampled_at)
 
-    def own_join_at(self, now: float) -> float | None:
+    def next_own_resume_at(self, now: float) -> float | None:
         """Return the monotonic time at which the next of this instance's generations resumes."""
         times = [f.joins_at for f in self.flights if f.joins_at is not None]
-        return min((at for at in times if at + JOIN_SETTLES_S > now), default=None)
+        return min((at for at in times if at + RESUME_TOLERANCE_S > now), default=None)
 
     def allowance_told(self, now: float) -> float:
         """Return the coordinator's allowance, or 1.0 if there is none or it is out of date."""
-        return self.told_allowance if now - self.told_at < ALLOWANCE_KEPT_S else 1.0
+        return self.told_allowance if now - self.told_at < MAX_ALLOWANCE_AGE_S else 1.0
 
-    def running(self, now: float, told: int) -> int:
+    def running(self, now: float, known_running: int) -> int:
         """Return an estimate of the number of requests there, including waiting ones.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
-        told : int
+        known_running : int
             Number of requests that all entry instances, including this one, have there
             according to their messages.
         """
-        if self.sample is None or now - self.sampled_at > SAMPLE_KEPT_S:
-            return told
-        others = self.sample.running + self.sample.waiting - self.own_at_sample
-        return max(told, self.own_running + others)
+        if self.sample is None or now - self.sampled_at > MAX_SAMPLE_AGE_S:
+            return known_running
+        others = self.sample.running + self.sample.waiting - self.own_running_at_sample
+        return max(known_running, self.own_running + others)
 
     def has_waiting(self, now: float) -> bool:
         """Return whether a recent load sample of the replica showed waiting requests."""
-        if self.sample is None or now - self.sampled_at > SAMPLE_KEPT_S:
+        if self.sample is None or now - self.sampled_at > MAX_SAMPLE_AGE_S:
             return False
         return self.sample.waiting > 0
 
@@ -208,15 +208,15 @@
             tokens=self.own_tokens,
             unread_tokens=self.own_unread_tokens,
             used_tokens=self.own_used_tokens,
-            copies=self.own_copies,
-            uncovered=self.own_uncovered,
-            arriving=self.own_arriving,
-            joins_in_s=time_until(self.own_join_at(now), now),
+            copies=self.own_evictable_copies,
+            uncovered=self.own_unreplicated,
+            arriving=self.own_pending_transfers,
+            joins_in_s=time_until(self.next_own_resume_at(now), now),
         )
 
     def reported_tokens(self, now: float) -> int:
         """Return the used memory in tokens by the last report; 0 if it is out of date."""
-        if self.report is None or now - self.reported_at > REPORT_KEPT_S:
+        if self.report is None or now - self.reported_at > MAX_REPORT_AGE_S:
             return 0
         return self.report.kv_used_tokens
 
@@ -236,7 +236,7 @@
     def take_sample(self, sample: LoadSample, now: float) -> None:
         """Store a load sample that the replica sent."""
         self.sample, self.sampled_at = sample, now
-        self.own_at_sample = self.own_running
+        self.own_running_at_sample = self.own_running
 
 
 class ReplicaBook:
@@ -252,7 +252,7 @@
         self._paces = paces or PaceBook()
         self._states: dict[str, ReplicaState] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._outcomes: deque[ReplicaOutcome] = deque(maxlen=MAX_OUTCOMES)
+        self._outcomes: deque[ReplicaOutcome] = deque(maxlen=MAX_QUEUED_OUTCOMES)
 
     @property
     def paces(self) -> PaceBook:
--- a/reachlink/requests/_cold_rates.py
+++ b/reachlink/requests/_cold_rates.py
@@ -5,11 +5,12 @@
 that the total limit holds while some of them are partitioned, are starting, or have not
 heard of each other:
 
-- The coordinators split `COORDINATED_PART` of the rate exactly. The remainder goes to
+- The coordinators split `COORDINATORS_FRACTION` of the rate exactly. The remainder goes to
   those with the lowest hashes of instance and replica name.
 - An instance that chooses replicas without being a coordinator gets its expected part of
-  `ALONE_PART`, or of `COORDINATED_PART` if there is no coordinator to ask. The part is
-  rounded to an integer pseudorandomly by a hash of both names; most instances get none.
+  `UNCOORDINATED_FRACTION`, or of `COORDINATORS_FRACTION` if there is no coordinator to ask.
+  The part is rounded to an integer pseudorandomly by a hash of both names; most instances
+  get none.
 
 Three sides of a network partition that don't know of each other send at most
 3 x 0.4 + 0.2 = 1.4 of the rate, below the 1.5 that deployments allow.
@@ -22,8 +23,8 @@
 from dataclasses import dataclass
 
 # Fractions of the rate that a cold replica sustains; see the module docstring.
-COORDINATED_PART = 0.4
-ALONE_PART = 0.2
+COORDINATORS_FRACTION = 0.4
+UNCOORDINATED_FRACTION = 0.2
 # Length of the sliding window in which requests are counted, in seconds: the second to which
 # the limit applies, plus the amount by which network delays can move two requests closer
 # together.
@@ -50,28 +51,30 @@
     instances: int = 1
 
     @property
-    def coordinates(self) -> bool:
+    def is_coordinator(self) -> bool:
         """Whether this instance is one of the coordinators."""
         return self.name in self.coordinators
 
     @property
-    def all_coordinate(self) -> bool:
+    def all_are_coordinators(self) -> bool:
         """Whether every instance is a coordinator."""
-        return self.coordinates and len(self.coordinators) >= self.instances
+        return self.is_coordinator and len(self.coordinators) >= self.instances
 
 
-def share_of(replica: str, bears_per_s: float, deciders: Deciders, asked: bool) -> int:
+def request_quota(
+    replica: str, sustained_per_s: float, deciders: Deciders, coordinated: bool
+) -> int:
     """Return the number of requests that this instance may send to a cold replica per window.
 
     Parameters
     ----------
     replica : str
         Name of the replica.
-    bears_per_s : float
+    sustained_per_s : float
         Rate that the replica sustains, in requests per second of all instances together.
     deciders : Deciders
         Instances that choose replicas.
-    asked : bool
+    coordinated : bool
         Whether coordinators choose the replicas of its service.
 
     Returns
@@ -79,13 +82,15 @@
     int
         Maximum number of requests in `WINDOW_S`.
     """
-    if deciders.all_coordinate or (asked and deciders.coordinates):
-        return _exact_share(replica, int(bears_per_s * COORDINATED_PART), deciders)
-    part = ALONE_PART if asked and deciders.coordinators else COORDINATED_PART
-    return _drawn_share(replica, bears_per_s * part, deciders)
+    if deciders.all_are_coordinators or (coordinated and deciders.is_coordinator):
+        return _exact_quota(replica, int(sustained_per_s * COORDINATORS_FRACTION), deciders)
+    fraction = (
+        UNCOORDINATED_FRACTION if coordinated and deciders.coordinators else COORDINATORS_FRACTION
+    )
+    return _rounded_quota(replica, sustained_per_s * fraction, deciders)
 
 
-def _exact_share(replica: str, total: int, deciders: Deciders) -> int:
+def _exact_quota(replica: str, total: int, deciders: Deciders) -> int:
     """Return this coordinator's part of a total that the coordinators split exactly."""
     each, rest = divmod(total, len(deciders.coordinators))
     own = _hash(deciders.name, replica)
@@ -93,7 +98,7 @@
     return each + (before < rest)
 
 
-def _drawn_share(replica: str, total: float, deciders: Deciders) -> int:
+def _rounded_quota(replica: str, total: float, deciders: Deciders) -> int:
     """Return this instance's expected part of a total, rounded pseudorandomly.
 
     The hash of both names decides the rounding, so that no communication is needed.
@@ -107,15 +112,15 @@
     return int.from_bytes(digest.digest())
 
 
-class ColdRates:
+class ColdRequestWindow:
     """Counts the requests that this instance sends to cold replicas in a sliding window."""
 
     def __init__(self) -> None:
         self._sent: dict[str, deque[float]] = {}
 
-    def may_send(self, replica: str, share: int, now: float) -> bool:
+    def may_send(self, replica: str, quota: int, now: float) -> bool:
         """Return whether one more request may be sent to a cold replica at a monotonic time."""
-        return len(self._recent(replica, now)) < share
+        return len(self._recent(replica, now)) < quota
 
     def note_sent(self, replica: str, now: float) -> None:
         """Count a request that is sent to a cold replica."""
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -7,7 +7,7 @@
 
 # How long a replica that refused or evicted a generation's copy is avoided by the generation,
 # in seconds: about the time until the other instances know of the lack of room.
-NO_ROOM_S = 0.4
+AVOIDANCE_S = 0.4
 
 
 class CopyTargets:
@@ -29,10 +29,12 @@
         self._avoided_until: dict[str, float] = {}
 
     def avoid(self, replica: Replica) -> None:
-        """Avoid a replica for `NO_ROOM_S` seconds."""
-        self._avoided_until[replica.name] = self._dispatch.now() + NO_ROOM_S
+        """Avoid a replica for `AVOIDANCE_S` seconds."""
+        self._avoided_until[replica.name] = self._dispatch.now() + AVOIDANCE_S
 
-    async def standing(self, home: Replica, excluded: set[str], used_tokens: int) -> Replica | None:
+    async def standing_copy(
+        self, home: Replica, excluded: set[str], used_tokens: int
+    ) -> Replica | None:
         """Return the replica for a copy while the primary stays, if there is one.
 
         Parameters
@@ -48,7 +50,9 @@
         purpose = Purpose.STANDING_COPY if near else Purpose.COPY_AT_HOME
         return await self._place(home, excluded, used_tokens, purpose)
 
-    async def rescue(self, home: Replica, excluded: set[str], used_tokens: int) -> Replica | None:
+    async def departure_copy(
+        self, home: Replica, excluded: set[str], used_tokens: int
+    ) -> Replica | None:
         """Return the replica for a copy from a leaving primary, if there is one."""
         # Time is short, and a transfer within the zone takes half as long as to another zone.
         zone = home.availability_zone
--- a/reachlink/requests/_departures.py
+++ b/reachlink/requests/_departures.py
@@ -11,33 +11,33 @@
 # Expected length of a shutdown notice before the first shutdown was observed, in seconds.
 NOTICE_S = 1.8
 # Expected age of a report when it is read, before the first shutdown was observed, in seconds.
-REPORT_AGE_S = 0.5
+INITIAL_REPORT_AGE_S = 0.5
 # Weight of the latest shutdown in the moving averages, from 0 to 1: about four shutdowns count.
-NEWEST = 0.25
+AVERAGING_WEIGHT = 0.25
 # Maximum deviation of a shutdown from its expected time, in seconds. Beyond it, the replica
 # crashed or the connection to it failed, and nothing is learned.
-PLAUSIBLE_S = 1.0
+MAX_DEVIATION_S = 1.0
 # How long a leaving replica is remembered, in seconds.
-KEPT_S = 30.0
+RETENTION_S = 30.0
 
 
 @dataclass(slots=True)
-class _Departure:
+class _LeavingReplica:
     """One leaving replica; times are monotonic, in seconds.
 
     Attributes
     ----------
-    noticed_at : float
+    found_at : float
         Time at which the replica was first found to be leaving.
-    told_at : float, optional
+    reported_shutdown_at : float, optional
         Time of its shutdown, as if its report had been created when it was read.
-    gone : bool
+    is_gone : bool
         Whether the replica is gone and the estimates have been updated.
     """
 
-    noticed_at: float
-    told_at: float | None = None
-    gone: bool = False
+    found_at: float
+    reported_shutdown_at: float | None = None
+    is_gone: bool = False
 
 
 class Departures:
@@ -59,49 +59,51 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, _Departure] = {}
+        self._leaving: dict[str, _LeavingReplica] = {}
         self._notice_s = NOTICE_S
-        self._report_age_s = REPORT_AGE_S
+        self._report_age_s = INITIAL_REPORT_AGE_S
 
     def notice(self, name: str, now: float) -> None:
         """Record that a replica is leaving, unless that is known already."""
-        if name in self._known:
+        if name in self._leaving:
             return
-        self._known = {n: d for n, d in self._known.items() if now - d.noticed_at < KEPT_S}
-        self._known[name] = _Departure(now)
+        self._leaving = {n: d for n, d in self._leaving.items() if now - d.found_at < RETENTION_S}
+        self._leaving[name] = _LeavingReplica(now)
 
     def report(self, name: str, read_at: float, leaves_in_s: float) -> None:
         """Record the remaining time in a report, which counts from the report's creation."""
         self.notice(name, read_at)
-        self._known[name].told_at = read_at + leaves_in_s
+        self._leaving[name].reported_shutdown_at = read_at + leaves_in_s
 
     def forget(self, name: str) -> None:
         """Forget the shutdown notice of a replica that has restarted."""
-        self._known.pop(name, None)
+        self._leaving.pop(name, None)
 
     def told(self, name: str) -> bool:
         """Return whether a report of the replica contained its shutdown time."""
-        departure = self._known.get(name)
-        return departure is not None and departure.told_at is not None
+        leaving = self._leaving.get(name)
+        return leaving is not None and leaving.reported_shutdown_at is not None
 
     def expected(self, name: str) -> float | None:
         """Return the expected monotonic time in seconds of a shutdown; None if not leaving."""
-        departure = self._known.get(name)
-        if departure is None:
+        leaving = self._leaving.get(name)
+        if leaving is None:
             return None
-        if departure.told_at is not None:
-            return departure.told_at - self._report_age_s
-        return departure.noticed_at + self._notice_s
+        if leaving.reported_shutdown_at is not None:
+            return leaving.reported_shutdown_at - self._report_age_s
+        return leaving.found_at + self._notice_s
 
     def gone(self, name: str, now: float) -> None:
         """Record that a replica is gone, and update the estimates with the time."""
-        departure = self._known.get(name)
+        leaving = self._leaving.get(name)
         expected = self.expected(name)
-        if departure is None or departure.gone or expected is None:
+        if leaving is None or leaving.is_gone or expected is None:
             return
-        departure.gone = True
-        if abs(now - expected) > PLAUSIBLE_S:
+        leaving.is_gone = True
+        if abs(now - expected) > MAX_DEVIATION_S:
             return
-        self._notice_s += NEWEST * (now - departure.noticed_at - self._notice_s)
-        if departure.told_at is not None:
-            self._report_age_s += NEWEST * (departure.told_at - now - self._report_age_s)
+        self._notice_s += AVERAGING_WEIGHT * (now - leaving.found_at - self._notice_s)
+        if leaving.reported_shutdown_at is not None:
+            self._report_age_s += AVERAGING_WEIGHT * (
+                leaving.reported_shutdown_at - now - self._report_age_s
+            )
--- a/reachlink/requests/_flights.py
+++ b/reachlink/requests/_flights.py
@@ -8,7 +8,7 @@
 from reachlink.upstreams import Replica
 
 # Minimum change of an expected time that is sent to the other instances, in seconds.
-TOLD_AGAIN_S = 0.03
+MIN_SENT_CHANGE_S = 0.03
 
 
 class Flights:
@@ -72,16 +72,18 @@
         """Record that a copy is no longer evictable."""
         self._parts.book.hold(flight)
 
-    def expect_join(self, flight: Flight, home: Replica) -> None:
+    def expect_resume(self, flight: Flight, home: Replica) -> None:
         """Record when a generation will resume from its copy because its primary leaves."""
         departures = self._parts.departures
         departures.notice(home.name, self._parts.clock())
         at = departures.expected(home.name)
-        if at is not None and (flight.joins_at is None or abs(at - flight.joins_at) > TOLD_AGAIN_S):
+        if at is not None and (
+            flight.joins_at is None or abs(at - flight.joins_at) > MIN_SENT_CHANGE_S
+        ):
             flight.joins_at = at
             self._parts.book.touch()
 
-    def leaves_in(self, replica: Replica) -> float | None:
+    def shutdown_in_s(self, replica: Replica) -> float | None:
         """Return the time until a leaving replica is shut down, in seconds; None if unknown."""
         at = self._parts.departures.expected(replica.name)
         return None if at is None else at - self._parts.clock()
--- a/reachlink/requests/_generation_places.py
+++ b/reachlink/requests/_generation_places.py
@@ -16,42 +16,42 @@
 from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._joint import Joint
 from reachlink.requests._model import CallerRequest
-from reachlink.requests._outlook import Outlook
+from reachlink.requests._outlook import GenerationProgress
 from reachlink.requests._shadow import Shadow
 from reachlink.upstreams import MovedMemory, MoveSetback, Replica
 
 # Interval between two checks of a generation's replicas, in seconds.
-WATCH_S = 0.05
+CHECK_INTERVAL_S = 0.05
 # Minimum expected remaining output for a copy while the primary stays, in tokens. A shorter
 # one ends within two seconds, so it is rarely affected by a shutdown.
-COPY_FROM_TOKENS = 200
+MIN_COPY_TOKENS = 200
 # Minimum value of the maximum remaining output for a copy when the primary leaves, in tokens.
 # A shorter one ends before the shutdown. The expected output is not used here: with a wrong
 # estimate, generations would count as nearly finished and be lost with their replicas.
-RESCUE_FROM_TOKENS = 100
+MIN_DEPARTURE_COPY_TOKENS = 100
 # Minimum time between the shutdowns of the primary and of a copy's replica for the copy to be
 # useful, in seconds: the time to copy the generation again from there.
-LEAVES_LATER_S = 0.6
-# Interval between the evacuations of generations from a leaving replica, in seconds: long
-# enough that their transfer requests arrive in order, the highest expected loss first.
-EVACUATION_STEP_S = 0.03
+MIN_SHUTDOWN_GAP_S = 0.6
+# Interval between the departure copies from one leaving replica, in seconds: long enough that
+# their transfer requests arrive in order, the highest expected loss first.
+DEPARTURE_COPY_INTERVAL_S = 0.03
 # Probability from 0 to 1 that a needed copy is started at a check while the primary stays. It
 # spreads the copies: other instances learn of a new copy before most of them start theirs.
 BEGIN_SHARE = 0.2
 # Delay before the next copy if the source did not answer a transfer request, for example
 # because its zone is partitioned, in seconds.
-SOURCE_SILENT_S = 1.0
+SOURCE_FAILURE_DELAY_S = 1.0
 # Delay before the next copy if the source does not run the generation at the moment, in
 # seconds: it was preempted and waits for its prompt to be processed again.
-NOT_RUNNING_S = 0.1
+NOT_RUNNING_DELAY_S = 0.1
 
 
 @dataclass(slots=True)
-class _Place:
+class _ReplicaAllocation:
     """Replica with a generation or a copy, and its allocation there."""
 
     replica: Replica
-    flight: Flight
+    allocation: Flight
     # Start time of the replica when the memory was sent there, in Unix milliseconds; 0 if
     # unknown.
     born: int = 0
@@ -75,24 +75,24 @@
         self._placing = dispatch.placing
         self._request = request
         self._joint = joint
-        self._home: _Place | None = None
-        self._backup: _Place | None = None
+        self._primary: _ReplicaAllocation | None = None
+        self._backup: _ReplicaAllocation | None = None
         self._shadow: Shadow | None = None
-        self._shadow_place: _Place | None = None
+        self._shadow_allocation: _ReplicaAllocation | None = None
         # Last shadow copy that was discarded; a transfer to it may still be in progress.
-        self._given_up: Shadow | None = None
+        self._discarded_shadow: Shadow | None = None
         self._targets = CopyTargets(dispatch, request)
         # Monotonic time in seconds at which the primary was found to be leaving; None if it
         # is not.
         self._leaving_since: float | None = None
         # Monotonic time in seconds before which no copy is started.
-        self._not_before = 0.0
+        self._no_copy_before = 0.0
 
     @property
     def home(self) -> Replica:
         """Replica at which the generation runs; only valid after `begin`."""
-        assert self._home is not None
-        return self._home.replica
+        assert self._primary is not None
+        return self._primary.replica
 
     @property
     def backup(self) -> Replica | None:
@@ -102,7 +102,7 @@
     @property
     def shadow(self) -> Replica | None:
         """Replica of the shadow copy, if any."""
-        return self._shadow_place.replica if self._shadow_place is not None else None
+        return self._shadow_allocation.replica if self._shadow_allocation is not None else None
 
     @property
     def has_copy(self) -> bool:
@@ -111,25 +111,25 @@
 
     async def begin(self, replica: Replica) -> None:
         """Start at a replica, with a backup if it is needed and there is room for one."""
-        self._home = self._occupy(replica, reads=True)
+        self._primary = self._allocate(replica, reads=True)
         self._backup = await self._choose_backup(set())
 
     async def move_to(self, target: Replica) -> Replica:
         """Make a replica the primary, choose a new backup, and return the previous primary."""
-        lost = self._home
+        lost = self._primary
         assert lost is not None
         self._free(lost)
         self._free(self._backup)
         self._drop_shadow()
-        self._home = self._occupy(target)
+        self._primary = self._allocate(target)
         self._leaving_since = None
         self._backup = await self._choose_backup({target.name}, lost.replica)
         return lost.replica
 
     def note_prompt_read(self) -> None:
         """Record that the primary has processed the prompt."""
-        assert self._home is not None
-        self._dispatch.flights.has_read(self._home.flight)
+        assert self._primary is not None
+        self._dispatch.flights.has_read(self._primary.allocation)
 
     def note_progress(self) -> None:
         """Record the memory that the generation takes now and is expected to take at its end.
@@ -137,50 +137,50 @@
         If a generation gets longer than estimated, its expected memory increases with it.
         Otherwise, full engines would preempt other generations for it (test_promise_load).
         """
-        outlook = self._outlook()
-        for place in (self._home, self._backup, self._shadow_place):
+        outlook = self._progress()
+        for place in (self._primary, self._backup, self._shadow_allocation):
             if place is not None:
-                place.flight.used_tokens = outlook.used_tokens
-                place.flight.tokens = max(place.flight.tokens, outlook.end_tokens)
+                place.allocation.used_tokens = outlook.used_tokens
+                place.allocation.tokens = max(place.allocation.tokens, outlook.final_tokens)
 
     def leave(self) -> None:
         """Release all replicas."""
         self._drop_shadow()
-        self._free(self._home)
+        self._free(self._primary)
         self._free(self._backup)
 
     async def continuations(self) -> list[tuple[Replica, MovedMemory]]:
         """Return the replicas and memory from which the generation may resume, best first."""
         found: list[tuple[Replica, MovedMemory]] = []
-        if self._shadow is not None and self._shadow_place is not None:
+        if self._shadow is not None and self._shadow_allocation is not None:
             memory = await self._shadow.take()
-            if memory is not None and self._holds(self._shadow_place):
-                found.append((self._shadow_place.replica, memory))
+            if memory is not None and self._may_resume_from(self._shadow_allocation):
+                found.append((self._shadow_allocation.replica, memory))
             self._shadow = None
-        if self._backup is not None and self._holds(self._backup):
+        if self._backup is not None and self._may_resume_from(self._backup):
             replica = self._backup.replica
             found.append((replica, MovedMemory(replica.address, self._request.request_id)))
         return found
 
-    def _holds(self, place: _Place) -> bool:
+    def _may_resume_from(self, place: _ReplicaAllocation) -> bool:
         """Return whether a generation may resume from a copy."""
-        return self._placing.is_in_service(place.replica) and not self._started_again(place)
+        return self._placing.is_in_service(place.replica) and not self._has_restarted(place)
 
     async def watch(self) -> None:
         """Maintain a shadow copy at a replica that stays, until cancelled."""
         while True:
-            await asyncio.sleep(WATCH_S)
-            if self._home is not None and self._joint.last >= 0:
-                await self._look()
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            if self._primary is not None and self._joint.last >= 0:
+                await self._check_copies()
 
-    async def _look(self) -> None:
+    async def _check_copies(self) -> None:
         """Drop a useless shadow copy, and start a shadow copy if one is needed."""
         leaving = self._note_leaving()
         if self._shadow is not None and not self._may_keep_shadow(leaving):
             self._drop_shadow()
-        self._note_cover()
-        if self._shadow is None and self._needs_shadow(leaving) and self._is_due():
-            await self._begin_shadow(leaving)
+        self._update_allocations()
+        if self._shadow is None and self._needs_shadow(leaving) and self._may_start_copy():
+            await self._start_shadow(leaving)
 
     def _note_leaving(self) -> bool:
         """Return whether the primary is leaving, and record when this was first found."""
@@ -191,57 +191,61 @@
             self._leaving_since = self._dispatch.now()
         return True
 
-    def _note_cover(self) -> None:
-        """Update what the other instances need to sort evacuations and evictions."""
-        assert self._home is not None
-        flight = self._home.flight
-        flight.stake = self._stake()
-        if self._shadow is not None and self._shadow_place is not None:
-            self._shadow_place.flight.arriving = not self._shadow.arrived
+    def _update_allocations(self) -> None:
+        """Update what the other instances need to sort departure copies and evictions."""
+        assert self._primary is not None
+        flight = self._primary.allocation
+        flight.stake = self._expected_loss()
+        if self._shadow is not None and self._shadow_allocation is not None:
+            self._shadow_allocation.allocation.arriving = not self._shadow.arrived
         covered = self._backup is not None or (self._shadow is not None and self._shadow.arrived)
-        flight.uncovered = not covered and self._is_worth_rescue()
+        flight.uncovered = not covered and self._is_worth_departure_copy()
 
-    def _is_due(self) -> bool:
+    def _may_start_copy(self) -> bool:
         """Return whether a copy of this generation may be started now."""
         now = self._dispatch.now()
-        if now < self._not_before:
+        if now < self._no_copy_before:
             return False
         if self._leaving_since is None:
             # Prevents all generations from starting copies at once at a new replica.
             return self._dispatch.draw() < BEGIN_SHARE
-        assert self._home is not None
-        rank = self._dispatch.copy_order.evacuation_rank(self._home.replica, self._home.flight)
-        return now >= self._leaving_since + rank * EVACUATION_STEP_S
+        assert self._primary is not None
+        rank = self._dispatch.copy_order.departure_copy_rank(
+            self._primary.replica, self._primary.allocation
+        )
+        return now >= self._leaving_since + rank * DEPARTURE_COPY_INTERVAL_S
 
     def _may_keep_shadow(self, leaving: bool) -> bool:
         """Return whether the shadow copy is useful and its memory not needed by others."""
-        assert self._shadow is not None and self._shadow_place is not None
+        assert self._shadow is not None and self._shadow_allocation is not None
         if self._shadow.failed:
             self._note_failed_shadow(self._shadow)
             return False
         if not self._placing.is_in_service(self._shadow.target):
             return False
-        if self._started_again(self._shadow_place):
+        if self._has_restarted(self._shadow_allocation):
             # The copy was lost with the restart.
             return False
         target_stays = self._placing.stays(self._shadow.target)
         if leaving:
-            self._dispatch.flights.hold(self._shadow_place.flight)
-            self._dispatch.flights.expect_join(self._shadow_place.flight, self.home)
+            self._dispatch.flights.hold(self._shadow_allocation.allocation)
+            self._dispatch.flights.expect_resume(self._shadow_allocation.allocation, self.home)
             self._shadow.hurry()
-            if self._leaves_with_home(self._shadow.target):
+            if self._leaves_with_primary(self._shadow.target):
                 return False
             # Both replicas may be leaving: a copy that has arrived is better than none.
             return target_stays or self._shadow.arrived
         # Discarding a copy during its transfer would gain nothing: it takes its memory until
         # the transfer ends, and the source accepts no other transfer of this generation.
-        return target_stays and not (self._shadow.arrived and self._gives_way(self._shadow_place))
+        return target_stays and not (
+            self._shadow.arrived and self._must_evict_shadow(self._shadow_allocation)
+        )
 
-    def _started_again(self, place: _Place) -> bool:
+    def _has_restarted(self, place: _ReplicaAllocation) -> bool:
         """Return whether a replica has restarted since memory was sent there."""
         return 0 < place.born < self._placing.born(place.replica)
 
-    def _leaves_with_home(self, target: Replica) -> bool:
+    def _leaves_with_primary(self, target: Replica) -> bool:
         """Return whether a target leaves too soon after the primary, with time for a new copy.
 
         Several replicas may get their shutdown notices at once, and a generation would be
@@ -249,26 +253,26 @@
         """
         if self._placing.stays(target):
             return False
-        home_left = self._dispatch.flights.leaves_in(self.home)
-        target_left = self._dispatch.flights.leaves_in(target)
-        if home_left is None or target_left is None or home_left < LEAVES_LATER_S:
+        home_left = self._dispatch.flights.shutdown_in_s(self.home)
+        target_left = self._dispatch.flights.shutdown_in_s(target)
+        if home_left is None or target_left is None or home_left < MIN_SHUTDOWN_GAP_S:
             return False
-        return target_left < home_left + LEAVES_LATER_S
+        return target_left < home_left + MIN_SHUTDOWN_GAP_S
 
     def _note_failed_shadow(self, shadow: Shadow) -> None:
         """Exclude a target without room; delay the next copy if the source failed."""
         if shadow.setback is MoveSetback.NO_ROOM:
             self._targets.avoid(shadow.target)
         elif shadow.setback is MoveSetback.NOT_RUNNING:
-            self._not_before = self._dispatch.now() + NOT_RUNNING_S
+            self._no_copy_before = self._dispatch.now() + NOT_RUNNING_DELAY_S
         elif shadow.setback is None:
-            self._not_before = self._dispatch.now() + SOURCE_SILENT_S
+            self._no_copy_before = self._dispatch.now() + SOURCE_FAILURE_DELAY_S
 
-    def _gives_way(self, place: _Place) -> bool:
+    def _must_evict_shadow(self, place: _ReplicaAllocation) -> bool:
         """Return whether the shadow copy must be evicted; if so, avoid its replica."""
-        place.flight.stake = self._stake()
-        if not self._dispatch.copy_order.must_give_way(
-            self._request.service, place.replica, place.flight
+        place.allocation.stake = self._expected_loss()
+        if not self._dispatch.copy_order.must_evict(
+            self._request.service, place.replica, place.allocation
         ):
             return False
         self._targets.avoid(place.replica)
@@ -276,7 +280,7 @@
             "copy_gives_way",
             request_id=self._request.request_id,
             target=place.replica.name,
-            stake=place.flight.stake,
+            stake=place.allocation.stake,
         )
         return True
 
@@ -285,31 +289,31 @@
         engine = self._request.service.engine
         if engine is None or not engine.moves:
             return False
-        if self._given_up is not None and self._given_up.under_way:
+        if self._discarded_shadow is not None and self._discarded_shadow.under_way:
             return False
         if self._backup is not None and self._placing.takes_work(self._backup.replica):
             return False
-        if not leaving and self._dispatch.copy_order.evacuating(self._request.service):
+        if not leaving and self._dispatch.copy_order.departure_copies_due(self._request.service):
             return False
         if leaving:
-            return self._is_worth_rescue()
-        return self._outlook().remaining_tokens >= COPY_FROM_TOKENS
+            return self._is_worth_departure_copy()
+        return self._progress().remaining_tokens >= MIN_COPY_TOKENS
 
-    def _is_worth_rescue(self) -> bool:
-        return self._outlook().longest_remaining_tokens >= RESCUE_FROM_TOKENS
+    def _is_worth_departure_copy(self) -> bool:
+        return self._progress().max_remaining_tokens >= MIN_DEPARTURE_COPY_TOKENS
 
-    async def _begin_shadow(self, leaving: bool) -> None:
+    async def _start_shadow(self, leaving: bool) -> None:
         """Start a shadow copy if there is a replica for it."""
-        home = self._home
+        home = self._primary
         target = await self._choose_shadow_target(leaving)
         # The generation may have resumed elsewhere during the query to a coordinator.
-        if target is None or self._home is not home:
+        if target is None or self._primary is not home:
             return
         self._log_shadow(target, leaving)
-        self._shadow_place = self._occupy(target, copy=True)
-        flight = self._shadow_place.flight
+        self._shadow_allocation = self._allocate(target, copy=True)
+        flight = self._shadow_allocation.allocation
         flight.gives_way = not leaving
-        flight.stake = self._stake()
+        flight.stake = self._expected_loss()
         flight.arriving = True
         self._shadow = Shadow(
             self._dispatch.adapter,
@@ -322,8 +326,8 @@
 
     async def _choose_shadow_target(self, leaving: bool) -> Replica | None:
         excluded = {self._backup.replica.name} if self._backup is not None else set()
-        choose = self._targets.rescue if leaving else self._targets.standing
-        return await choose(self.home, excluded, self._outlook().used_tokens)
+        choose = self._targets.departure_copy if leaving else self._targets.standing_copy
+        return await choose(self.home, excluded, self._progress().used_tokens)
 
     def _log_shadow(self, target: Replica, leaving: bool) -> None:
         self._dispatch.log.info(
@@ -340,16 +344,16 @@
     def _drop_shadow(self) -> None:
         if self._shadow is not None:
             self._shadow.abandon()
-            self._given_up = self._shadow
+            self._discarded_shadow = self._shadow
         self._shadow = None
-        self._free(self._shadow_place)
-        self._shadow_place = None
+        self._free(self._shadow_allocation)
+        self._shadow_allocation = None
 
-    def _outlook(self) -> Outlook:
+    def _progress(self) -> GenerationProgress:
         """Return the progress of the generation."""
         facts = self._request.relay.generation
         engine = self._request.service.engine
-        return Outlook(
+        return GenerationProgress(
             prompt_tokens=self._request.prompt_tokens,
             expected_tokens=facts.expected_output_tokens if facts else 0,
             max_tokens=facts.max_output_tokens if facts else 0,
@@ -357,14 +361,14 @@
             tokens_per_event=engine.tokens_per_event if engine else 0,
         )
 
-    def _stake(self) -> int:
+    def _expected_loss(self) -> int:
         """Return the expected loss of the generation at its primary."""
-        near = self._home is None or self._placing.reachable.is_near(self._home.replica)
-        return self._outlook().stake(near)
+        near = self._primary is None or self._placing.reachable.is_near(self._primary.replica)
+        return self._progress().expected_loss(near)
 
     async def _choose_backup(
         self, excluded: set[str], before: Replica | None = None
-    ) -> _Place | None:
+    ) -> _ReplicaAllocation | None:
         """Choose a backup, if it is needed and there is room, and record its allocation.
 
         The previous primary is preferred if it stays.
@@ -372,13 +376,13 @@
         engine = self._request.service.engine
         if engine is None or not engine.backups or engine.moves:
             return None
-        if self._outlook().remaining_tokens < COPY_FROM_TOKENS:
+        if self._progress().remaining_tokens < MIN_COPY_TOKENS:
             return None
         home = self.home
         if before is not None and self._may_be_backup(before, home):
-            return self._occupy(before, copy=True)
-        found = await self._targets.standing(home, excluded, self._outlook().used_tokens)
-        return self._occupy(found, copy=True) if found is not None else None
+            return self._allocate(before, copy=True)
+        found = await self._targets.standing_copy(home, excluded, self._progress().used_tokens)
+        return self._allocate(found, copy=True) if found is not None else None
 
     def _may_be_backup(self, before: Replica, home: Replica) -> bool:
         """Return whether the previous primary may be the backup."""
@@ -386,11 +390,13 @@
             return False
         return self._placing.reachable.is_near(before) or self._placing.reachable.is_near(home)
 
-    def _occupy(self, replica: Replica, reads: bool = False, copy: bool = False) -> _Place:
+    def _allocate(
+        self, replica: Replica, reads: bool = False, copy: bool = False
+    ) -> _ReplicaAllocation:
         flight = self._dispatch.flights.add(self._request, replica, reads, copy)
-        flight.used_tokens = self._outlook().used_tokens
-        return _Place(replica, flight, self._placing.born(replica))
+        flight.used_tokens = self._progress().used_tokens
+        return _ReplicaAllocation(replica, flight, self._placing.born(replica))
 
-    def _free(self, place: _Place | None) -> None:
+    def _free(self, place: _ReplicaAllocation | None) -> None:
         if place is not None:
-            self._dispatch.flights.remove(place.replica, place.flight)
+            self._dispatch.flights.remove(place.replica, place.allocation)
--- a/reachlink/requests/_line_placing.py
+++ b/reachlink/requests/_line_placing.py
@@ -10,12 +10,12 @@
 from reachlink.upstreams import Replica
 
 # Replies to wait that arrive sooner than this were not delayed by the queue's owner, in seconds.
-HELD_S = 0.01
+MIN_HELD_REPLY_S = 0.01
 # Polling interval of a request that was queued, while the queue has no owner, in seconds.
-UNKEPT_STEP_S = 0.05
+NO_OWNER_POLL_INTERVAL_S = 0.05
 # Maximum duration of this polling, in seconds: an owner manages a queue from 1.2 s after its
 # start.
-UNKEPT_MOST_S = 2.5
+MAX_NO_OWNER_POLL_S = 2.5
 
 
 class LinePlacing:
@@ -61,25 +61,25 @@
             calm_only = may_wait_for_room(request, asked_at)
             # The first reply is not delayed, so that a missing owner is noticed early.
             hold_s = LINE_HOLD_S if in_line else 0.0
-            found = await self._placing.place_in_line(request, tried, calm_only, hold_s)
+            found = await self._placing.place_queued(request, tried, calm_only, hold_s)
             if isinstance(found, Replica | Refuse):
                 return found
             if found is None and not in_line:
                 return None
-            if self._waits_for_else(request, tried):
+            if self._waits_for_other_than_room(request, tried):
                 return None
             if found is not None:
                 kept_at = parts.clock()
-            elif parts.clock() - kept_at > UNKEPT_MOST_S:
+            elif parts.clock() - kept_at > MAX_NO_OWNER_POLL_S:
                 return None
             if found is None:
                 # The owner has just started. The request's age determines its position.
-                await asyncio.sleep(UNKEPT_STEP_S)
-            elif in_line and parts.clock() - asked_at < HELD_S:
+                await asyncio.sleep(NO_OWNER_POLL_INTERVAL_S)
+            elif in_line and parts.clock() - asked_at < MIN_HELD_REPLY_S:
                 await asyncio.sleep(WAIT_STEP_S)
             in_line = in_line or isinstance(found, Wait)
 
-    def _waits_for_else(self, request: CallerRequest, tried: set[str]) -> bool:
+    def _waits_for_other_than_room(self, request: CallerRequest, tried: set[str]) -> bool:
         """Return whether a request waits for something other than room."""
         placing = self._placing
         return (
--- a/reachlink/requests/_load_notes.py
+++ b/reachlink/requests/_load_notes.py
@@ -12,7 +12,7 @@
 
 # How long after its expected time a generation may still resume at another replica, in
 # seconds: covers the error of the expected time and the time of its first event there.
-JOIN_SETTLES_S = 0.12
+RESUME_TOLERANCE_S = 0.12
 
 
 class MemoryNote(msgspec.Struct, array_like=True, frozen=True):
@@ -26,9 +26,9 @@
     tokens : int
         Memory that it takes now, in tokens.
     stake : int
-        Work that is lost if the generation is lost, weighted by risk (`Outlook.stake`).
-        Copies with the lowest value are evicted first; generations with the highest
-        value are evacuated first.
+        Work that is lost if the generation is lost, weighted by risk
+        (`GenerationProgress.expected_loss`). Copies with the lowest value are evicted
+        first; generations with the highest value are copied from a leaving replica first.
     """
 
     key: int
@@ -208,7 +208,7 @@
         copies=tuple(copy for s in shares for copy in s.copies),
         uncovered=tuple(note for s in shares for note in s.uncovered),
         arriving=sum(s.arriving for s in shares),
-        joins_in_s=min((s for s in joins if s + JOIN_SETTLES_S > 0.0), default=None),
+        joins_in_s=min((s for s in joins if s + RESUME_TOLERANCE_S > 0.0), default=None),
     )
 
 
@@ -218,11 +218,11 @@
     Sent to instances that have no allocation at the replica: they don't need the details.
     """
     return msgspec.structs.replace(
-        share, copies=_sum_of(share.copies), uncovered=_sum_of(share.uncovered)
+        share, copies=_aggregated(share.copies), uncovered=_aggregated(share.uncovered)
     )
 
 
-def _sum_of(notes: tuple[MemoryNote, ...]) -> tuple[MemoryNote, ...]:
+def _aggregated(notes: tuple[MemoryNote, ...]) -> tuple[MemoryNote, ...]:
     if not notes:
         return ()
     return (MemoryNote(0, sum(n.tokens for n in notes), max(n.stake for n in notes)),)
--- a/reachlink/requests/_obstacles.py
+++ b/reachlink/requests/_obstacles.py
@@ -13,7 +13,7 @@
     @property
     def come_back_in_s(self) -> float:
         """Time in seconds after which a refused caller should retry."""
-        return _COME_BACK_IN_S[self]
+        return _RETRY_AFTER_S[self]
 
 
 # The load balancer needs two readiness checks, one second apart, to redirect callers to other
@@ -21,10 +21,10 @@
 ELSEWHERE_AFTER_S = 1.2
 # An operator's order puts a zone back into service and takes up to one second to reach every
 # instance. Callers that retry sooner fail again; a much longer time keeps them away needlessly.
-IN_SERVICE_AFTER_S = 2.0
+ZONE_IN_SERVICE_RETRY_S = 2.0
 
-_COME_BACK_IN_S = {
-    Obstacle.OUT_OF_SERVICE: IN_SERVICE_AFTER_S,
+_RETRY_AFTER_S = {
+    Obstacle.OUT_OF_SERVICE: ZONE_IN_SERVICE_RETRY_S,
     Obstacle.HOME_OUT_OF_REACH: ELSEWHERE_AFTER_S,
     Obstacle.CUT_OFF: ELSEWHERE_AFTER_S,
 }
--- a/reachlink/requests/_outlook.py
+++ b/reachlink/requests/_outlook.py
@@ -7,20 +7,20 @@
 
 # Work to generate one token of output again, in prompt tokens that can be processed in the
 # same time.
-OUTPUT_WEIGHT = 10
+OUTPUT_TOKEN_COST = 10
 # Factor by which the risk of a generation in another zone is higher: it is lost with its
 # replica or with the connection between the zones.
-FAR_RISK = 2
+OTHER_ZONE_RISK_FACTOR = 2
 # Remaining output above which a generation has the full risk, in tokens: about the output
 # between two shutdown notices.
-RISK_TOKENS = 330
+FULL_RISK_TOKENS = 330
 # Output that is at least expected to follow, as a fraction of the output so far. It applies
 # when the expected length is nearly or fully reached.
-MORE_SHARE = 0.25
+MIN_REMAINING_FRACTION = 0.25
 
 
 @dataclass(slots=True, frozen=True)
-class Outlook:
+class GenerationProgress:
     """Sizes of one generation at one moment.
 
     Attributes
@@ -54,33 +54,35 @@
     tokens_per_event: int
 
     @property
-    def made_tokens(self) -> int:
+    def output_tokens(self) -> int:
         """Output so far, in tokens."""
         return max(0, self.last_event) * self.tokens_per_event
 
     @property
     def used_tokens(self) -> int:
         """Memory that the generation takes now, in tokens."""
-        return self.prompt_tokens + self.made_tokens
+        return self.prompt_tokens + self.output_tokens
 
     @property
-    def longest_remaining_tokens(self) -> int:
+    def max_remaining_tokens(self) -> int:
         """Maximum remaining output, in tokens."""
-        return max(0, self.max_tokens - self.made_tokens)
+        return max(0, self.max_tokens - self.output_tokens)
 
     @property
     def remaining_tokens(self) -> int:
         """Expected remaining output, in tokens."""
-        made = self.made_tokens
+        made = self.output_tokens
         expected = self.expected_tokens or self.max_tokens
-        return min(self.longest_remaining_tokens, max(expected - made, round(made * MORE_SHARE)))
+        return min(
+            self.max_remaining_tokens, max(expected - made, round(made * MIN_REMAINING_FRACTION))
+        )
 
     @property
-    def end_tokens(self) -> int:
+    def final_tokens(self) -> int:
         """Memory that the generation is expected to take when it ends, in tokens."""
         return self.used_tokens + self.remaining_tokens
 
-    def stake(self, near: bool) -> int:
+    def expected_loss(self, near: bool) -> int:
         """Return the expected loss: the work to repeat the generation, weighted by risk.
 
         Parameters
@@ -94,6 +96,6 @@
             Work in prompt tokens, weighted by risk. Only meaningful in comparisons.
         """
         remaining = self.remaining_tokens
-        work = self.prompt_tokens + OUTPUT_WEIGHT * (self.made_tokens + remaining)
-        risk = 1 if near else FAR_RISK
-        return risk * work * min(remaining, RISK_TOKENS) // RISK_TOKENS
+        work = self.prompt_tokens + OUTPUT_TOKEN_COST * (self.output_tokens + remaining)
+        risk = 1 if near else OTHER_ZONE_RISK_FACTOR
+        return risk * work * min(remaining, FULL_RISK_TOKENS) // FULL_RISK_TOKENS
--- a/reachlink/requests/_place_question.py
+++ b/reachlink/requests/_place_question.py
@@ -27,9 +27,9 @@
 class Purpose(Enum):
     """Kind of placement: a request, or one of three kinds of copies.
 
-    A standing copy is made while the primary stays. A copy at home is a standing copy of a
-    generation that runs in another zone; this instance's zone is preferred for it. A rescue
-    is a copy from a leaving primary.
+    A standing copy is made while the primary stays. A local copy is a standing copy of a
+    generation that runs in another zone; this instance's zone is preferred for it. A
+    departure copy is made from a leaving primary.
     """
 
     REQUEST = "request"
--- a/reachlink/requests/_placing.py
+++ b/reachlink/requests/_placing.py
@@ -5,7 +5,7 @@
 from msgspec import structs
 
 from reachlink.pacing import Hold
-from reachlink.requests._cold_replicas import ColdReplicas
+from reachlink.requests._cold_replicas import ColdReplicaLimiter
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._needs import need_of, need_tokens
 from reachlink.requests._parts import RunnerParts
@@ -30,10 +30,10 @@
 
 # How long processing prompts delays a generation that resumes at the same replica, in
 # seconds: the time for 5,000 tokens, two usual prompts, at 14 tokens per millisecond.
-READING_S = 0.35
+PROMPT_DELAY_S = 0.35
 # How long queries exclude a replica that this instance found to be leaving, in seconds:
 # longer than a coordinator takes to learn it from the list or from reports.
-LEAVING_TOLD_S = 5.0
+LEAVING_EXCLUSION_S = 5.0
 
 
 class Placing:
@@ -49,7 +49,7 @@
         self._parts = parts
         self._reachable = ReachableReplicas(parts)
         self._options = ReplicaOptions(parts, self._reachable)
-        self._cold = ColdReplicas(parts)
+        self._cold = ColdReplicaLimiter(parts)
 
     @property
     def reachable(self) -> ReachableReplicas:
@@ -99,12 +99,14 @@
             Maximum time in seconds that the request may wait for a permit of a replica
             with a rate limit.
         """
-        excluded = tried | self._not_admitted(request.service, within_s)
+        excluded = tried | self._held_replicas(request.service, within_s)
         question = self.question(request, excluded, calm_only)
         answer = await self._ask(request.service, question)
-        return self.decide(request.service, question) if answer is None else self._named(answer)
+        return (
+            self.decide(request.service, question) if answer is None else self._replica_of(answer)
+        )
 
-    async def place_in_line(
+    async def place_queued(
         self, request: CallerRequest, tried: set[str], calm_only: bool, hold_s: float
     ) -> Replica | Wait | Refuse | None:
         """Return the decision of the queue's owner: a replica, to wait, or to refuse.
@@ -125,7 +127,7 @@
         Replica or Wait or Refuse or None
             None if the queue has no owner and there is no room.
         """
-        excluded = tried | self._not_admitted(request.service)
+        excluded = tried | self._held_replicas(request.service)
         asked = self.question(request, excluded, calm_only)
         question = structs.replace(asked, hold_s=hold_s)
         answer = await self._ask(request.service, question)
@@ -135,7 +137,7 @@
             return answer.otherwise
         # A replica that is known here to be leaving gives no room, and the request has lost
         # its position in the queue: it asks again at once.
-        return self._named(answer) or Wait(0.0)
+        return self._replica_of(answer) or Wait(0.0)
 
     def question(
         self, request: CallerRequest, tried: set[str], calm_only: bool = False
@@ -151,7 +153,7 @@
             excluded=tuple(tried),
             zone=self._parts.zone,
             calm_only=calm_only,
-            zones=_in_order(request.zones),
+            zones=_sorted_zones(request.zones),
             need=need_of(request, self._parts.clock()),
             fingerprint=request.relay.fingerprint,
         )
@@ -180,20 +182,20 @@
             service=request.service.name,
             purpose=purpose,
             tokens=tokens,
-            excluded=tuple(excluded | self._not_admitted(request.service)),
+            excluded=tuple(excluded | self._held_replicas(request.service)),
             zone=zone or self._parts.zone,
-            zones=_in_order(request.zones),
+            zones=_sorted_zones(request.zones),
             need=Need(tokens=tokens, longest_pause_s=request.route.event_gap_s),
         )
         found = self.decide(request.service, question)
         # The local information is at most a second old. It is good enough to avoid sending
-        # many futile queries per second for copies that are only a precaution.
+        # many futile queries per second for copies that are wanted but not urgent.
         if found is None and purpose is not Purpose.RESCUE:
             return None
         answer = await self._ask(request.service, question)
-        return found if answer is None else self._named(answer)
+        return found if answer is None else self._replica_of(answer)
 
-    def _named(self, answer: PlaceAnswer) -> Replica | None:
+    def _replica_of(self, answer: PlaceAnswer) -> Replica | None:
         """Return the replica of a coordinator's answer, unless it may not get new work."""
         listed = answer.replica
         if listed is None:
@@ -208,7 +210,7 @@
             return None
         parts = self._parts
         # The coordinator may not know yet that these replicas are leaving.
-        leaving = parts.directory.leaving(service.name, parts.clock() - LEAVING_TOLD_S)
+        leaving = parts.directory.leaving(service.name, parts.clock() - LEAVING_EXCLUSION_S)
         excluded = tuple({*question.excluded, *leaving})
         return await parts.ask_coordinator(structs.replace(question, excluded=excluded))
 
@@ -246,12 +248,12 @@
         """Return the replicas that are allowed for a request or copy."""
         excluded = set(question.excluded)
         if question.purpose is Purpose.REQUEST:
-            excluded.update(self._cold.full(service))
+            excluded.update(self._cold.at_limit(service))
         options = self._options.of(service, excluded, question.zone)
         if question.zones is not None:
             options = [o for o in options if self._zone_of(o.name) in question.zones]
         if question.calm_only:
-            options = [o for o in options if is_calm(o, READING_S)]
+            options = [o for o in options if is_calm(o, PROMPT_DELAY_S)]
         return options
 
     def decide(self, service: Service, question: PlaceQuestion) -> Replica | None:
@@ -306,7 +308,7 @@
             if replica.name not in tried and (zones is None or replica.availability_zone in zones)
         ]
 
-    def _not_admitted(self, service: Service, within_s: float = 0.0) -> set[str]:
+    def _held_replicas(self, service: Service, within_s: float = 0.0) -> set[str]:
         """Return the replicas of a service that have a backoff, rate limit or recent refusal.
 
         Queries to a coordinator exclude them, because it does not know what a replica
@@ -320,5 +322,5 @@
         return {r.name for r in replicas if not parts.pacing.admits(r.address, now, within_s)}
 
 
-def _in_order(zones: Set[str] | None) -> tuple[str, ...] | None:
+def _sorted_zones(zones: Set[str] | None) -> tuple[str, ...] | None:
     return None if zones is None else tuple(sorted(zones))
--- a/reachlink/requests/_reachable_replicas.py
+++ b/reachlink/requests/_reachable_replicas.py
@@ -9,7 +9,7 @@
 
 # How long a zone is excluded after one of its replicas could not be reached, in seconds.
 # With this, a network partition costs each request at most one failed attempt.
-CUT_OFF_S = 1.0
+ZONE_EXCLUSION_S = 1.0
 
 
 class ReachableReplicas:
@@ -23,7 +23,7 @@
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
-        self._cut_off: dict[str, float] = {}
+        self._excluded_until: dict[str, float] = {}
 
     def is_near(self, replica: Replica) -> bool:
         """Return whether a replica is in this instance's zone."""
@@ -32,12 +32,14 @@
     def live(self, service: str, now: float) -> list[Replica]:
         """Return the live replicas of a service outside the zones that seem partitioned."""
         live = self._parts.directory.live(service)
-        self._cut_off = {zone: until for zone, until in self._cut_off.items() if until > now}
+        self._excluded_until = {
+            zone: until for zone, until in self._excluded_until.items() if until > now
+        }
         if self._parts.cut_off():
             return [r for r in live if self.is_near(r)]
         # A request on a persistent connection across a partition would fail only at its
         # caller's timeout.
-        away = self._cut_off.keys() | self._parts.silent_zones()
+        away = self._excluded_until.keys() | self._parts.silent_zones()
         return [r for r in live if r.availability_zone not in away]
 
     def out_of_reach(self, service: str) -> bool:
@@ -49,7 +51,7 @@
     def note_unreachable(self, replica: Replica) -> None:
         """Record that the connection to a replica failed: its zone may be partitioned."""
         if not self.is_near(replica):
-            self._cut_off[replica.availability_zone] = self._parts.clock() + CUT_OFF_S
+            self._excluded_until[replica.availability_zone] = self._parts.clock() + ZONE_EXCLUSION_S
 
     def obstacle(self, request: CallerRequest) -> Obstacle | None:
         """Return why no replica may get the request however long it waits, if that is so.
@@ -61,7 +63,7 @@
         service = request.service.name
         if self._all_out_of_service(service):
             return Obstacle.OUT_OF_SERVICE
-        if request.zones is not None and not self._reaches(service, request.zones):
+        if request.zones is not None and not self._reaches_any(service, request.zones):
             return Obstacle.HOME_OUT_OF_REACH
         return Obstacle.CUT_OFF if self.out_of_reach(service) else None
 
@@ -70,7 +72,7 @@
         directory = self._parts.directory
         return not directory.live(service) and bool(directory.staying(service))
 
-    def _reaches(self, service: str, zones: Set[str]) -> bool:
+    def _reaches_any(self, service: str, zones: Set[str]) -> bool:
         """Return whether a replica of a service is reachable in one of the given zones."""
         reachable = self.live(service, self._parts.clock())
         return any(replica.availability_zone in zones for replica in reachable)
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -10,7 +10,7 @@
 from reachlink.upstreams import Replica
 
 # Maximum number of replicas in a log line, at about 60 bytes each.
-SHOWN = 8
+MAX_DESCRIBED = 8
 
 
 class ReplicaOptions:
@@ -56,9 +56,13 @@
             f"{o.name}:{o.tokens}:{o.used_tokens}+{o.copy_tokens}"
             f":{o.reported_tokens}/{o.capacity_tokens}"
             f":{o.running}:{o.unread_tokens}:{o.trust:.1f}"
-            for o in options[:SHOWN]
+            for o in options[:MAX_DESCRIBED]
+        )
+        return (
+            shown
+            if len(options) <= MAX_DESCRIBED
+            else f"{shown} and {len(options) - MAX_DESCRIBED} more"
         )
-        return shown if len(options) <= SHOWN else f"{shown} and {len(options) - SHOWN} more"
 
     def _option(
         self,
--- a/reachlink/requests/_shared_load.py
+++ b/reachlink/requests/_shared_load.py
@@ -7,48 +7,48 @@
 
 import msgspec
 
-from reachlink.requests._load_notes import JOIN_SETTLES_S, LoadNote, ReplicaShare, total
+from reachlink.requests._load_notes import RESUME_TOLERANCE_S, LoadNote, ReplicaShare, total
 
 # How long the last message of an instance is valid, in seconds. Each instance sends its load
 # at least once a second.
-KEPT_S = 3.0
+MESSAGE_VALIDITY_S = 3.0
 # How long the time of an instance's last message is kept, in seconds: longer than
 # instances wait for any zone to become reachable again.
-HEARD_KEPT_S = 600.0
+LAST_HEARD_RETENTION_S = 600.0
 
 
 @dataclass(slots=True)
-class _Told:
+class _InstanceUsages:
     """Usage of each replica by one instance, and the monotonic time of its message."""
 
-    shares: dict[str, ReplicaShare]
-    at: float
+    usages: dict[str, ReplicaShare]
+    received_at: float
 
 
 @dataclass(slots=True, frozen=True)
-class _Sum:
+class _CachedSum:
     """Cached sum of the usages of one replica.
 
     Attributes
     ----------
-    share : ReplicaShare
+    usage : ReplicaShare
         Sum of the usages, without the time until the next generation resumes.
-    joins : tuple of float
+    resume_times : tuple of float
         Monotonic times in seconds at which generations are expected to resume there.
-    until : float
+    valid_until : float
         Monotonic time in seconds at which the first summand expires.
     """
 
-    share: ReplicaShare
-    joins: tuple[float, ...]
-    until: float
+    usage: ReplicaShare
+    resume_times: tuple[float, ...]
+    valid_until: float
 
-    def at(self, now: float) -> ReplicaShare:
+    def usage_at(self, now: float) -> ReplicaShare:
         """Return the sum with the time until the next generation resumes."""
-        if not self.joins:
-            return self.share
-        later = [round(at - now, 3) for at in self.joins if at + JOIN_SETTLES_S > now]
-        return msgspec.structs.replace(self.share, joins_in_s=min(later, default=None))
+        if not self.resume_times:
+            return self.usage
+        later = [round(at - now, 3) for at in self.resume_times if at + RESUME_TOLERANCE_S > now]
+        return msgspec.structs.replace(self.usage, joins_in_s=min(later, default=None))
 
 
 class SharedLoad:
@@ -67,24 +67,24 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
+        self._usages: dict[str, _InstanceUsages] = {}
         # Instances that have allocations at each replica: a sum goes over about ten of
         # these instead of over all instances.
-        self._present: dict[str, set[str]] = {}
+        self._instances_at: dict[str, set[str]] = {}
         # Cached sums over all instances. A decision needs them for about a hundred replicas;
         # the cache halves its duration.
-        self._sums: dict[str, _Sum] = {}
+        self._sums: dict[str, _CachedSum] = {}
         # Times of the last messages, kept longer than their contents, to know for how long
         # an instance has been silent.
-        self._heard: dict[str, float] = {}
+        self._last_heard: dict[str, float] = {}
 
     def take(self, note: LoadNote, now: float) -> None:
         """Replace the load of one instance by that of its new message."""
-        self._heard[note.instance] = now
+        self._last_heard[note.instance] = now
         self._drop(note.instance)
-        self._told[note.instance] = _Told({s.replica: s for s in note.shares}, now)
+        self._usages[note.instance] = _InstanceUsages({s.replica: s for s in note.shares}, now)
         for share in note.shares:
-            self._present.setdefault(share.replica, set()).add(note.instance)
+            self._instances_at.setdefault(share.replica, set()).add(note.instance)
             self._sums.pop(share.replica, None)
 
     def add(self, instance: str, share: ReplicaShare, now: float) -> None:
@@ -93,34 +93,39 @@
         Used for a request that was just placed for the instance. The instance's own message
         follows some milliseconds later, and other requests are placed in the meantime.
         """
-        if instance in self._told and now - self._told[instance].at > KEPT_S:
+        if (
+            instance in self._usages
+            and now - self._usages[instance].received_at > MESSAGE_VALIDITY_S
+        ):
             self._drop(instance)
-        told = self._told.setdefault(instance, _Told({}, now))
-        before = told.shares.get(share.replica)
-        told.shares[share.replica] = total([before, share]) if before else share
-        self._present.setdefault(share.replica, set()).add(instance)
+        known = self._usages.setdefault(instance, _InstanceUsages({}, now))
+        before = known.usages.get(share.replica)
+        known.usages[share.replica] = total([before, share]) if before else share
+        self._instances_at.setdefault(share.replica, set()).add(instance)
         self._sums.pop(share.replica, None)
 
     def forget(self, instance: str) -> None:
         """Drop the load of an instance that reports to another coordinator or is gone."""
         self._drop(instance)
-        self._heard.pop(instance, None)
+        self._last_heard.pop(instance, None)
 
     def forget_silent(self, now: float) -> None:
         """Drop instances that have been silent for long, to bound the number of names kept."""
-        for instance in [n for n, at in self._heard.items() if now - at > HEARD_KEPT_S]:
+        for instance in [
+            n for n, at in self._last_heard.items() if now - at > LAST_HEARD_RETENTION_S
+        ]:
             self.forget(instance)
 
     def last_heard(self, instance: str) -> float:
         """Return the monotonic time in seconds of an instance's last message."""
-        return self._heard.get(instance, float("-inf"))
+        return self._last_heard.get(instance, float("-inf"))
 
     def told_by(self, instance: str, now: float) -> list[ReplicaShare]:
         """Return the usages that one instance sent, with time spans as of now."""
-        told = self._told.get(instance)
-        if told is None or now - told.at > KEPT_S:
+        known = self._usages.get(instance)
+        if known is None or now - known.received_at > MESSAGE_VALIDITY_S:
             return []
-        return [_later(share, now - told.at) for share in told.shares.values()]
+        return [_with_elapsed(share, now - known.received_at) for share in known.usages.values()]
 
     def at(self, replica: str, now: float, without: str = "") -> ReplicaShare:
         """Return the total usage of a replica by the other instances.
@@ -134,40 +139,40 @@
         without : str
             Name of an instance to exclude from the sum.
         """
-        if without and without in self._present.get(replica, ()):
-            return self._sum(replica, now, without).at(now)
+        if without and without in self._instances_at.get(replica, ()):
+            return self._sum_usages(replica, now, without).usage_at(now)
         found = self._sums.get(replica)
-        if found is None or now > found.until:
-            found = self._sums[replica] = self._sum(replica, now)
-        return found.at(now)
+        if found is None or now > found.valid_until:
+            found = self._sums[replica] = self._sum_usages(replica, now)
+        return found.usage_at(now)
 
-    def _sum(self, replica: str, now: float, without: str = "") -> _Sum:
+    def _sum_usages(self, replica: str, now: float, without: str = "") -> _CachedSum:
         shares: list[ReplicaShare] = []
         joins: list[float] = []
         until = float("inf")
-        for name in list(self._present.get(replica, ())):
-            told = self._told[name]
-            if now - told.at > KEPT_S:
+        for name in list(self._instances_at.get(replica, ())):
+            known = self._usages[name]
+            if now - known.received_at > MESSAGE_VALIDITY_S:
                 self._drop(name)
             elif name != without:
-                share = told.shares[replica]
+                share = known.usages[replica]
                 shares.append(share)
-                until = min(until, told.at + KEPT_S)
+                until = min(until, known.received_at + MESSAGE_VALIDITY_S)
                 if share.joins_in_s is not None:
-                    joins.append(told.at + share.joins_in_s)
+                    joins.append(known.received_at + share.joins_in_s)
         whole = total(shares) if shares else ReplicaShare(replica, 0, 0)
-        return _Sum(msgspec.structs.replace(whole, joins_in_s=None), tuple(joins), until)
+        return _CachedSum(msgspec.structs.replace(whole, joins_in_s=None), tuple(joins), until)
 
     def _drop(self, instance: str) -> None:
-        told = self._told.pop(instance, None)
-        for replica in told.shares if told else ():
-            self._present[replica].discard(instance)
+        known = self._usages.pop(instance, None)
+        for replica in known.usages if known else ():
+            self._instances_at[replica].discard(instance)
             self._sums.pop(replica, None)
-            if not self._present[replica]:
-                del self._present[replica]
+            if not self._instances_at[replica]:
+                del self._instances_at[replica]
 
 
-def _later(share: ReplicaShare, passed_s: float) -> ReplicaShare:
+def _with_elapsed(share: ReplicaShare, passed_s: float) -> ReplicaShare:
     if share.joins_in_s is None:
         return share
     return msgspec.structs.replace(share, joins_in_s=round(share.joins_in_s - passed_s, 3))
--- a/reachlink/requests/_stake_order.py
+++ b/reachlink/requests/_stake_order.py
@@ -1,4 +1,4 @@
-"""Order of evictions and evacuations by expected loss.
+"""Order of evictions, and of copies from leaving replicas, by expected loss.
 
 Every entry instance receives the summaries of all copies and generations at a replica
 (`MemoryNote`) and computes the same order. Each instance therefore knows without
@@ -11,11 +11,11 @@
 
 # Fraction of a replica's memory, from 0 to 1, above which copies are evicted. The rest is for
 # the growth of generations until all instances have learned of it.
-FULL = 0.93
+EVICTION_THRESHOLD = 0.93
 
 
-def rank(generation: MemoryNote, others: Iterable[MemoryNote]) -> int:
-    """Return the number of generations at a replica to evacuate before the given one.
+def departure_copy_rank(generation: MemoryNote, others: Iterable[MemoryNote]) -> int:
+    """Return the number of generations to copy from a leaving replica before the given one.
 
     Generations with the highest expected loss go first: the network link of a replica
     transfers one copy after the other, and a shutdown notice is too short for all.
@@ -38,8 +38,8 @@
     return sum(1 for other in others if (-other.stake, other.key) < mine)
 
 
-def gives_way(
-    copy: MemoryNote, copies: Iterable[MemoryNote], firm_tokens: int, capacity_tokens: int
+def must_evict(
+    copy: MemoryNote, copies: Iterable[MemoryNote], not_evictable_tokens: int, capacity_tokens: int
 ) -> bool:
     """Return whether a copy has to be evicted to make room.
 
@@ -49,7 +49,7 @@
         Copy to decide on.
     copies : iterable of MemoryNote
         All evictable copies at the replica, including `copy`.
-    firm_tokens : int
+    not_evictable_tokens : int
         Memory that is not evictable, in tokens.
     capacity_tokens : int
         Memory of the replica, in tokens.
@@ -62,7 +62,7 @@
     >>> gives_way(large, [small, large], 22_000, 30_000)
     False
     """
-    excess = firm_tokens - FULL * capacity_tokens
+    excess = not_evictable_tokens - EVICTION_THRESHOLD * capacity_tokens
     kept = 0
     for other in sorted(copies, key=lambda c: (-c.stake, c.key)):
         kept += other.tokens
--- a/reachlink/requests/_timely_placing.py
+++ b/reachlink/requests/_timely_placing.py
@@ -49,7 +49,7 @@
             was_whole = parts.directory.is_whole
             calm_only = may_wait_for_room(request, parts.clock())
             hold = self._placing.hold(request, tried)
-            replica = await self._look(request, tried, calm_only, hold)
+            replica = await self._try_place(request, tried, calm_only, hold)
             if replica is not None:
                 self._log_placed(request, replica)
                 return replica
@@ -63,13 +63,13 @@
                 await asyncio.sleep(pause_s)
                 continue
             if request.refusal is None:
-                if not was_whole and await self._gets_first_list(request):
+                if not was_whole and await self._wait_for_first_list(request):
                     continue
                 request.held_back = hold
             self._log_no_room(request, tried)
             return None
 
-    async def _look(
+    async def _try_place(
         self, request: CallerRequest, tried: set[str], calm_only: bool, hold: Hold | None
     ) -> Replica | None:
         """Return a replica that a request may be sent to now, using the queue if it has one."""
@@ -84,7 +84,7 @@
             return await self._place_with_permit(request, tried, calm_only, hold.left_s)
         return replica
 
-    async def _gets_first_list(self, request: CallerRequest) -> bool:
+    async def _wait_for_first_list(self, request: CallerRequest) -> bool:
         """Wait for the first whole list of replicas; return whether this instance has one."""
         parts = self._parts
         while not parts.directory.is_whole:
--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -10,11 +10,11 @@
 from reachlink.membership import ListedInstance
 from reachlink.requests import Deciders
 from reachlink.requests._cold_rates import (
-    ALONE_PART,
-    COORDINATED_PART,
+    COORDINATORS_FRACTION,
+    UNCOORDINATED_FRACTION,
     WINDOW_S,
-    ColdRates,
-    share_of,
+    ColdRequestWindow,
+    request_quota,
 )
 from reachlink.requests.tests.world import OK, everywhere
 from reachlink.routing import RequestKind, Service
@@ -26,8 +26,10 @@
 @given(st.integers(1, 30), st.floats(0.0, 200.0), st.text("abc", max_size=4))
 def test_coordinators_split_the_whole_exactly(count, bears, replica):
     names = tuple(f"e{i}" for i in range(count))
-    shares = [share_of(replica, bears, Deciders(n, names, 99), asked=True) for n in names]
-    assert sum(shares) == int(bears * COORDINATED_PART)
+    shares = [
+        request_quota(replica, bears, Deciders(n, names, 99), coordinated=True) for n in names
+    ]
+    assert sum(shares) == int(bears * COORDINATORS_FRACTION)
     assert max(shares) - min(shares) <= 1
 
 
@@ -37,26 +39,31 @@
     total = 0
     for side, count in enumerate(sides):
         names = tuple(f"s{side}-{i}" for i in range(count))
-        total += sum(share_of("r", bears, Deciders(n, names, count), asked=True) for n in names)
-    assert total <= len(sides) * COORDINATED_PART * bears
-    assert 3 * COORDINATED_PART + ALONE_PART < MOST
+        total += sum(
+            request_quota("r", bears, Deciders(n, names, count), coordinated=True) for n in names
+        )
+    assert total <= len(sides) * COORDINATORS_FRACTION * bears
+    assert 3 * COORDINATORS_FRACTION + UNCOORDINATED_FRACTION < MOST
 
 
 def test_instances_that_decide_alone_take_their_part_together():
     """All 410 at once, none with a coordinator in reach: 200 replicas, 25 requests a second."""
     names = [f"e{i}" for i in range(410)]
     totals = [
-        sum(share_of(f"r{r}", 25.0, Deciders(n, ("c1", "c2"), 410), asked=True) for n in names)
+        sum(
+            request_quota(f"r{r}", 25.0, Deciders(n, ("c1", "c2"), 410), coordinated=True)
+            for n in names
+        )
         for r in range(200)
     ]
     # 5 are meant; what these draws come to besides must fit below what is allowed.
     assert 4.0 < sum(totals) / len(totals) < 6.0
-    assert max(totals) + 3 * COORDINATED_PART * 25.0 < MOST * 25.0 + 5
+    assert max(totals) + 3 * COORDINATORS_FRACTION * 25.0 < MOST * 25.0 + 5
 
 
 @given(st.lists(st.floats(0.0, 20.0), max_size=200), st.integers(0, 6))
 def test_no_window_holds_more_than_the_share(times, share):
-    rates = ColdRates()
+    rates = ColdRequestWindow()
     sent: list[float] = []
     for now in sorted(times):
         if rates.may_send("r", share, now):
@@ -67,7 +74,7 @@
 
 
 def test_what_is_remembered_goes_with_the_window():
-    rates = ColdRates()
+    rates = ColdRequestWindow()
     rates.note_sent("r1", 0.0)
     rates.note_sent("r2", WINDOW_S + 0.1)
     assert list(rates._sent) == ["r2"]
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -7,8 +7,8 @@
 
 from reachlink.kernel import steady_time
 from reachlink.requests import Departures, Flight, LoadNote, ReplicaBook, ReplicaShare, SharedLoad
-from reachlink.requests._departures import KEPT_S, NOTICE_S, REPORT_AGE_S
-from reachlink.requests._load_notes import JOIN_SETTLES_S
+from reachlink.requests._departures import INITIAL_REPORT_AGE_S, NOTICE_S, RETENTION_S
+from reachlink.requests._load_notes import RESUME_TOLERANCE_S
 from reachlink.requests.tests.world import answering, everywhere, stream
 from reachlink.routing import RequestKind
 from reachlink.scheduling import Option, choose, is_calm
@@ -31,7 +31,7 @@
     departures = Departures()
     departures.notice("r1", 10.0)
     departures.report("r1", 10.6, leaves_in_s=4.0)
-    assert departures.expected("r1") == 14.6 - REPORT_AGE_S
+    assert departures.expected("r1") == 14.6 - INITIAL_REPORT_AGE_S
     assert departures.told("r1")
 
 
@@ -58,7 +58,7 @@
 def test_old_departures_are_forgotten():
     departures = Departures()
     departures.notice("r1", 10.0)
-    departures.notice("r2", 10.0 + KEPT_S)
+    departures.notice("r2", 10.0 + RETENTION_S)
     assert departures.expected("r1") is None
 
 
@@ -69,7 +69,7 @@
     assert is_calm(option(None), 0.35)
     assert is_calm(option(0.5), 0.35)
     assert not is_calm(option(0.2), 0.35)
-    assert not is_calm(option(-JOIN_SETTLES_S / 2), 0.35)
+    assert not is_calm(option(-RESUME_TOLERANCE_S / 2), 0.35)
     assert choose([option(0.2)], 0, Random(1)) == "r"
 
 
--- a/reachlink/requests/tests/test_outlook.py
+++ b/reachlink/requests/tests/test_outlook.py
@@ -2,23 +2,28 @@
 
 import pytest
 
-from reachlink.requests._outlook import FAR_RISK, MORE_SHARE, RISK_TOKENS, Outlook
+from reachlink.requests._outlook import (
+    FULL_RISK_TOKENS,
+    MIN_REMAINING_FRACTION,
+    OTHER_ZONE_RISK_FACTOR,
+    GenerationProgress,
+)
 
 
 def outlook(
     last_event: int, expected: int = 400, longest: int = 1000, prompt: int = 3000
-) -> Outlook:
-    return Outlook(prompt, expected, longest, last_event, tokens_per_event=4)
+) -> GenerationProgress:
+    return GenerationProgress(prompt, expected, longest, last_event, tokens_per_event=4)
 
 
 def test_memory_in_use_is_the_prompt_and_what_was_made():
-    assert outlook(25).made_tokens == 100
+    assert outlook(25).output_tokens == 100
     assert outlook(25).used_tokens == 3100
 
 
 @pytest.mark.parametrize("last_event", [-1, 0])
 def test_before_the_first_output_only_the_prompt_takes_memory(last_event):
-    assert outlook(last_event).made_tokens == 0
+    assert outlook(last_event).output_tokens == 0
     assert outlook(last_event).used_tokens == 3000
     assert outlook(last_event).remaining_tokens == 400
 
@@ -32,13 +37,13 @@
 
 
 def test_beyond_the_expected_output_a_share_of_it_follows():
-    assert outlook(150).remaining_tokens == round(600 * MORE_SHARE) == 150
+    assert outlook(150).remaining_tokens == round(600 * MIN_REMAINING_FRACTION) == 150
 
 
 def test_what_outlives_its_guess_is_expected_to_take_more():
-    assert outlook(25).end_tokens == 3400
-    assert outlook(150).end_tokens == 3750
-    assert outlook(240).end_tokens == 4000
+    assert outlook(25).final_tokens == 3400
+    assert outlook(150).final_tokens == 3750
+    assert outlook(240).final_tokens == 4000
 
 
 def test_no_more_than_the_longest_output_remains():
@@ -49,19 +54,21 @@
 
 
 def test_a_plain_request_has_nothing_at_stake():
-    plain = Outlook(0, 0, 0, 5, 0)
-    assert (plain.used_tokens, plain.remaining_tokens, plain.stake(near=True)) == (0, 0, 0)
+    plain = GenerationProgress(0, 0, 0, 5, 0)
+    assert (plain.used_tokens, plain.remaining_tokens, plain.expected_loss(near=True)) == (0, 0, 0)
 
 
 def test_the_stake_is_the_work_to_make_the_whole_again():
     # 3000 tokens of prompt and 400 of output, each as much work as 10 of prompt.
-    assert outlook(0).stake(near=True) == 7000
+    assert outlook(0).expected_loss(near=True) == 7000
 
 
 def test_the_stake_shrinks_with_what_remains():
-    assert outlook(25).stake(near=True) == 7000 * 300 // RISK_TOKENS
-    assert outlook(250).stake(near=True) == 0
+    assert outlook(25).expected_loss(near=True) == 7000 * 300 // FULL_RISK_TOKENS
+    assert outlook(250).expected_loss(near=True) == 0
 
 
 def test_a_generation_in_another_zone_has_more_at_stake():
-    assert outlook(0).stake(near=False) == FAR_RISK * outlook(0).stake(near=True)
+    assert outlook(0).expected_loss(near=False) == OTHER_ZONE_RISK_FACTOR * outlook(
+        0
+    ).expected_loss(near=True)
--- a/reachlink/requests/tests/test_promise_load.py
+++ b/reachlink/requests/tests/test_promise_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reachlink.requests._outlook import Outlook
+from reachlink.requests._outlook import GenerationProgress
 from reachlink.scheduling import Option, choose
 
 # Engines as in the shifted deployment, those that take work at a time of trouble.
@@ -19,7 +19,7 @@
 TOKENS_PER_EVENT = 4
 LENGTH_S = 120.0
 
-Promise = Callable[[Outlook], int]
+Promise = Callable[[GenerationProgress], int]
 
 
 @dataclass(eq=False)
@@ -33,9 +33,11 @@
     paused: bool = False
 
     @property
-    def outlook(self) -> Outlook:
+    def outlook(self) -> GenerationProgress:
         last_event = self.made // TOKENS_PER_EVENT
-        return Outlook(PROMPT_TOKENS, self.guess, MOST_TOKENS, last_event, TOKENS_PER_EVENT)
+        return GenerationProgress(
+            PROMPT_TOKENS, self.guess, MOST_TOKENS, last_event, TOKENS_PER_EVENT
+        )
 
 
 @dataclass
@@ -107,12 +109,12 @@
             self._start(chat, random)
 
 
-def fixed(outlook: Outlook) -> int:
+def fixed(outlook: GenerationProgress) -> int:
     return outlook.prompt_tokens + outlook.expected_tokens
 
 
-def growing(outlook: Outlook) -> int:
-    return max(fixed(outlook), outlook.end_tokens)
+def growing(outlook: GenerationProgress) -> int:
+    return max(fixed(outlook), outlook.final_tokens)
 
 
 def shares(promise: Promise) -> tuple[float, float, float]:
