--- a/reachlink/coordination/_kept_line.py
+++ b/reachlink/coordination/_kept_line.py
@@ -5,7 +5,7 @@
 
 from reachlink.coordination._unfit_cache import UnfitCache
 from reachlink.requests import PlaceAnswer, PlaceQuestion
-from reachlink.scheduling import Promise, Refuse, RequestQueue, Wait
+from reachlink.scheduling import Refuse, RequestQueue, RetryReservation, Wait
 
 
 @dataclass(slots=True, eq=False)
@@ -36,7 +36,7 @@
     held_queries: dict[str, HeldQuestion] = field(default_factory=dict)
     # Those that have arrived, by their names: what was asked first, and what they had been
     # promised when they were refused before.
-    arrivals: dict[str, tuple[PlaceQuestion, Promise | None]] = field(default_factory=dict)
+    arrivals: dict[str, tuple[PlaceQuestion, RetryReservation | None]] = field(default_factory=dict)
     unfit: UnfitCache = field(default_factory=UnfitCache)
 
     def answer_without_place(self, request_id: str, otherwise: Wait | Refuse) -> None:
--- a/reachlink/coordination/_line_exchange.py
+++ b/reachlink/coordination/_line_exchange.py
@@ -27,11 +27,11 @@
 from reachlink.routing import Service
 from reachlink.scheduling import (
     Begin,
+    CallerRetryCounts,
     Need,
     QueuedRequest,
     RefusalReason,
     Refuse,
-    ReturnCounts,
     Start,
     Wait,
     expected_wait_s,
@@ -107,7 +107,7 @@
         self._log: Any = get_logger()
 
     @property
-    def returns(self) -> ReturnCounts:
+    def returns(self) -> CallerRetryCounts:
         """What became of those who were refused here."""
         return self._outcomes.returns
 
--- a/reachlink/coordination/_line_outcomes.py
+++ b/reachlink/coordination/_line_outcomes.py
@@ -12,13 +12,13 @@
 from reachlink.requests import PlaceAnswer, PlaceQuestion
 from reachlink.scheduling import (
     Begin,
+    CallerRetryCounts,
     Need,
     QueuedRequest,
     QueueState,
     RefusalReason,
     Refuse,
-    ReturnCounts,
-    refuse,
+    make_refusal,
 )
 from reachlink.telemetry import get_logger
 
@@ -47,7 +47,7 @@
         self._log: Any = get_logger()
 
     @property
-    def returns(self) -> ReturnCounts:
+    def returns(self) -> CallerRetryCounts:
         """What became of those who were refused here."""
         return self._ledger.book.counts
 
@@ -82,7 +82,7 @@
         state = queue.requests.state_ahead_of(waiting, now)
         left = waiting.need_at(now)
         state = replace(state, reserved_tokens=self.reserved_tokens(queue.service, now))
-        found = refuse(left, state, reason, self._random)
+        found = make_refusal(left, state, reason, self._random)
         told = self.record_decision(queue, waiting.request_id, left, found, state)
         self._count(queue.service, reason.value)
         self.record_left(queue, waiting, reason.value)
@@ -126,7 +126,7 @@
         """Note that a request is in line no more, and why."""
         _, promise = queue.arrivals.pop(waiting.request_id, (None, None))
         if reason == "lease" and promise is not None:
-            self._ledger.book.give_back(promise, self._clock())
+            self._ledger.book.restore(promise, self._clock())
         if reason in ("gone", "lease"):
             self._count(queue.service, "left")
         self._log.info(
--- a/reachlink/coordination/_return_ledger.py
+++ b/reachlink/coordination/_return_ledger.py
@@ -7,13 +7,13 @@
 from reachlink.quarantine import fingerprint_text
 from reachlink.requests import PlaceQuestion
 from reachlink.scheduling import (
+    CallerRetryRegistry,
     Need,
-    Promise,
     QueueState,
     Refuse,
-    ReturnBook,
+    RetryReservation,
     Start,
-    with_return,
+    with_caller_retry,
 )
 from reachlink.telemetry import get_logger
 
@@ -31,19 +31,19 @@
 
     Attributes
     ----------
-    book : ReturnBook
+    book : CallerRetryRegistry
         The promises.
     """
 
     def __init__(self, clock: Callable[[], float] = steady_time) -> None:
-        self.book = ReturnBook()
+        self.book = CallerRetryRegistry()
         self._clock = clock
         self._second = 0
         self._lines_this_second = 0
         self._omitted = 0
         self._log: Any = get_logger()
 
-    def on_arrival(self, question: PlaceQuestion) -> tuple[Need, Promise | None]:
+    def on_arrival(self, question: PlaceQuestion) -> tuple[Need, RetryReservation | None]:
         """Return what a request needs that arrives, and what it had been promised.
 
         Parameters
@@ -53,18 +53,18 @@
         """
         now = self._clock()
         need = question.need or Need(tokens=question.tokens)
-        promise = self.book.take(question.fingerprint, now)
+        promise = self.book.claim(question.fingerprint, now)
         if promise is None:
             return need, None
-        need = with_return(need, promise, now)
+        need = with_caller_retry(need, promise, now)
         self._log_limited(
             "return_found",
             request_id=question.request_id,
             fingerprint=fingerprint_text(question.fingerprint),
             service=question.service,
             age_s=round(need.waited_s, 3),
-            after_due_s=round(now - promise.due_at, 3),
-            place_kept=promise.place,
+            after_due_s=round(now - promise.retry_at, 3),
+            place_kept=promise.place_reserved,
         )
         return need, promise
 
@@ -72,7 +72,7 @@
         self,
         question: PlaceQuestion,
         need: Need,
-        promise: Promise | None,
+        promise: RetryReservation | None,
         start: Start,
         line: QueueState,
     ) -> Start:
@@ -84,14 +84,14 @@
             The question.
         need : Need
             What the request needs, as `arrive` returned.
-        promise : Promise or None
+        promise : RetryReservation or None
             What it had been promised, as `arrive` returned.
         start : Start
             What was decided.
         line : QueueState
             What stood between it and room.
         """
-        told = self.book.settle(
+        told = self.book.record_outcome(
             promise, question.fingerprint, question.service, need, start, self._clock()
         )
         if isinstance(told, Refuse):
@@ -101,8 +101,8 @@
                 service=question.service,
                 workspace=need.workspace,
                 reason=told.reason.value,
-                come_back_in_s=round(told.come_back_in_s, 3),
-                place_kept=told.kept,
+                come_back_in_s=round(told.retry_after_s, 3),
+                place_kept=told.place_reserved,
                 returner=need.returner,
                 ahead=line.ahead,
                 ahead_tokens=line.ahead_tokens,
--- a/reachlink/coordination/tests/test_line.py
+++ b/reachlink/coordination/tests/test_line.py
@@ -345,7 +345,7 @@
         await asyncio.gather(*crowd)
         for task in crowd:
             owner.line.leave(SERVICE.name, f"id-{crowd.index(task)}")
-        await asyncio.sleep(max(0.0, told.otherwise.come_back_in_s - HOLD_S))
+        await asyncio.sleep(max(0.0, told.otherwise.retry_after_s - HOLD_S))
         newcomer = asyncio.ensure_future(
             others[0].member.ask(asked("new", first_by_s=-1.0, give_up_in_s=9.0))
         )
--- a/reachlink/coordination/tests/test_line_refusals.py
+++ b/reachlink/coordination/tests/test_line_refusals.py
@@ -22,7 +22,7 @@
         long = asked("long", tokens=8_000, hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0)
         answer = await scene.others[1].member.ask(long)
         assert answer is not None and isinstance(answer.otherwise, Wait)
-        assert 5.0 < answer.otherwise.in_s < 15.0
+        assert 5.0 < answer.otherwise.expected_wait_s < 15.0
 
     play(story)
 
@@ -62,7 +62,7 @@
         told = await waiting
         assert told is not None and isinstance(told.otherwise, Refuse)
         others.append(asyncio.ensure_future(second.member.ask(younger)))
-        await asyncio.sleep(told.otherwise.come_back_in_s)
+        await asyncio.sleep(told.otherwise.retry_after_s)
         back = asked("back", hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0)
         back = msgspec.structs.replace(back, fingerprint=7)
         answer = await first.member.ask(back)
@@ -80,8 +80,8 @@
         line = scene.owner.line
         assert line is not None
         assert tried.need is not None
-        line._outcomes._ledger.book.promise(
-            7, "chat", tried.need, Refuse(0.1, kept=True), scene.network.now
+        line._outcomes._ledger.book.reserve(
+            7, "chat", tried.need, Refuse(0.1, place_reserved=True), scene.network.now
         )
         await asyncio.sleep(0.15)
         back = asked("back", hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0)
--- a/reachlink/coordination/tests/test_return_ledger.py
+++ b/reachlink/coordination/tests/test_return_ledger.py
@@ -9,7 +9,7 @@
 from reachlink.scheduling import Begin, Need, QueueState, RefusalReason, Refuse
 
 LINE = QueueState(7, 30_000, 10_000.0)
-REFUSED = Refuse(3.0, RefusalReason.OVER_SHARE, kept=True)
+REFUSED = Refuse(3.0, RefusalReason.OVER_SHARE, place_reserved=True)
 
 
 class Clock:
@@ -61,7 +61,7 @@
     clock.now += 1.0
     need, start = ask(ledger, "id-2", Refuse(9.0))
     assert not need.returner
-    assert start == Refuse(2.0, RefusalReason.NO_ROOM, kept=True)
+    assert start == Refuse(2.0, RefusalReason.NO_ROOM, place_reserved=True)
 
 
 def test_log_lines_are_bounded_and_those_left_out_are_counted(ledger, clock):
--- a/reachlink/entry/_relay_metrics.py
+++ b/reachlink/entry/_relay_metrics.py
@@ -8,7 +8,7 @@
 from reachlink.entry._relay_config import RelayConfig
 from reachlink.limits import HeldBytes
 from reachlink.messaging import Traffic, export_traffic
-from reachlink.scheduling import RefusalReason, ReturnCounts
+from reachlink.scheduling import CallerRetryCounts, RefusalReason
 from reachlink.telemetry import Metrics
 
 PERMITS_DESCRIPTION = "Permits asked for at replicas with a limit, by how that ended."
@@ -168,7 +168,7 @@
             "reachlink_loads_unreadable", "1", UNREADABLE_DESCRIPTION, unreadable
         )
 
-    def export_returns(self, counts: Callable[[], ReturnCounts]) -> None:
+    def export_returns(self, counts: Callable[[], CallerRetryCounts]) -> None:
         """Export what became of those whom the lines refused that this instance owns.
 
         Parameters
@@ -179,7 +179,7 @@
         gauge = self._metrics.gauge
         gauge("reachlink_returns_kept", "1", KEPT_DESCRIPTION, lambda: counts().kept)
         gauge("reachlink_returns_broken", "1", BROKEN_DESCRIPTION, lambda: counts().broken)
-        gauge("reachlink_returns_missed", "1", MISSED_DESCRIPTION, lambda: counts().not_taken_up)
+        gauge("reachlink_returns_missed", "1", MISSED_DESCRIPTION, lambda: counts().missed)
         gauge("reachlink_returns_dropped", "1", DROPPED_DESCRIPTION, lambda: counts().dropped)
         for reason in RefusalReason:
             name = f"reachlink_refused_{reason.value}"
@@ -207,5 +207,5 @@
             yield of(values), {"service": service, "of": name}
 
 
-def _refused(counts: Callable[[], ReturnCounts], reason: RefusalReason) -> float:
+def _refused(counts: Callable[[], CallerRetryCounts], reason: RefusalReason) -> float:
     return counts().refused[reason]
--- a/reachlink/entry/tests/test_return_metrics.py
+++ b/reachlink/entry/tests/test_return_metrics.py
@@ -3,12 +3,12 @@
 from reachlink.entry._relay_metrics import RelayMetrics
 from reachlink.entry.tests.relay import CONFIG
 from reachlink.messaging import Traffic
-from reachlink.scheduling import RefusalReason, ReturnCounts
+from reachlink.scheduling import CallerRetryCounts, RefusalReason
 
 
 def test_promises_and_refusals_are_on_the_metrics_page():
     metrics = RelayMetrics(CONFIG, Traffic())
-    counts = ReturnCounts(kept=5, broken=1, not_taken_up=2)
+    counts = CallerRetryCounts(kept=5, broken=1, missed=2)
     counts.refused[RefusalReason.OVER_SHARE] = 3
     metrics.export_returns(lambda: counts)
     page = metrics.page().decode()
--- a/reachlink/requests/_tries.py
+++ b/reachlink/requests/_tries.py
@@ -97,13 +97,13 @@
 
     def _refusal(self, request: CallerRequest, refused: Refuse) -> RequestFailedError:
         """Return the answer to one that is refused by who owns the line."""
-        reason, come_back_in_s = refused.reason.value, refused.come_back_in_s
+        reason, come_back_in_s = refused.reason.value, refused.retry_after_s
         self._log.info(
             "refusal_told",
             request_id=request.request_id,
             reason=reason,
             come_back_in_s=round(come_back_in_s, 3),
-            place_kept=refused.kept,
+            place_kept=refused.place_reserved,
         )
         return RequestFailedError(503, reason, Outcome.NOT_RUN, come_back_in_s)
 
--- a/reachlink/requests/tests/test_refused.py
+++ b/reachlink/requests/tests/test_refused.py
@@ -29,7 +29,7 @@
 def test_its_reason_and_time_go_to_the_caller(kind, reason):
     made = world("a", "m" if kind is RequestKind.STREAM else "p")
     made.directory.update([], 1.0)
-    error = refused(made, kind, Refuse(2.5, reason, kept=True))
+    error = refused(made, kind, Refuse(2.5, reason, place_reserved=True))
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert (error.reason, error.retry_after_s) == (reason.value, 2.5)
 
--- a/reachlink/scheduling/__init__.py
+++ b/reachlink/scheduling/__init__.py
@@ -1,5 +1,11 @@
 """Decides where and when a request starts, or that it is refused."""
 
+from reachlink.scheduling._caller_retries import (
+    CallerRetryCounts,
+    CallerRetryRegistry,
+    RetryReservation,
+    with_caller_retry,
+)
 from reachlink.scheduling._choice import choose, is_calm
 from reachlink.scheduling._duration import latest_start_s
 from reachlink.scheduling._forecast import ENGINE_SPEED, EngineSpeed, Forecast, forecast
@@ -13,15 +19,14 @@
 from reachlink.scheduling._refusal import (
     RefusalReason,
     Refuse,
-    equal_share,
     expected_wait_s,
+    fair_share,
     is_over_share,
-    most_told_s,
-    refusal,
-    refuse,
+    make_refusal,
+    max_retry_after_s,
+    refusal_if_needed,
 )
 from reachlink.scheduling._request_queue import MAX_QUEUED, QueuedRequest, RequestQueue
-from reachlink.scheduling._returns import Promise, ReturnBook, ReturnCounts, with_return
 from reachlink.scheduling._rhythm import StreamRhythm, usual_event_s
 from reachlink.scheduling._settings import SchedulingChoice, SchedulingSettings
 from reachlink.scheduling._start import Begin, Start, Wait, best_start
@@ -50,13 +55,13 @@
     "PaceChange",
     "PaceNote",
     "PaceSource",
-    "Promise",
+    "RetryReservation",
     "REQUEST",
     "RESCUE",
     "RefusalReason",
     "Refuse",
-    "ReturnBook",
-    "ReturnCounts",
+    "CallerRetryRegistry",
+    "CallerRetryCounts",
     "SchedulingChoice",
     "SchedulingSettings",
     "Start",
@@ -68,7 +73,7 @@
     "apart",
     "best_start",
     "choose",
-    "equal_share",
+    "fair_share",
     "expected_wait_s",
     "forecast",
     "is_calm",
@@ -76,8 +81,8 @@
     "usual_event_s",
     "is_over_share",
     "latest_start_s",
-    "most_told_s",
-    "refusal",
-    "refuse",
-    "with_return",
+    "max_retry_after_s",
+    "refusal_if_needed",
+    "make_refusal",
+    "with_caller_retry",
 ]
--- a/reachlink/scheduling/_returns.py
+++ b/reachlink/scheduling/_caller_retries.py
@@ -12,27 +12,27 @@
 from msgspec import structs
 
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._refusal import LEAST_S, RefusalReason, Refuse
+from reachlink.scheduling._refusal import MIN_RETRY_AFTER_S, RefusalReason, Refuse
 from reachlink.scheduling._start import Begin, Start
 
 # Time after the retry time at which a reservation expires, in seconds: opening a new channel
 # takes up to a second.
-KEPT_S = 2.0
+EXPIRY_DELAY_S = 2.0
 # Tolerance for retries before their time, in seconds: retry times are sent in milliseconds,
 # and timers are inexact.
-EARLY_S = 0.02
+EARLY_TOLERANCE_S = 0.02
 # Maximum number of reservations, some 300 B each; above it, the one that expires first is
 # dropped.
-MAX_PROMISES = 4096
+MAX_RESERVATIONS = 4096
 # Maximum number of reservations per workspace and service: a workspace that provokes refusals
 # to be served first later gains no more than these.
-MAX_OF_WORKSPACE = 128
+MAX_PER_WORKSPACE = 128
 # Maximum age that a retry is credited with, in seconds.
-MAX_AGE_S = 60.0
+MAX_CREDITED_AGE_S = 60.0
 
 
 @dataclass(slots=True, frozen=True)
-class Promise:
+class RetryReservation:
     """Reservation for the retry of a refused caller; times are monotonic, in seconds.
 
     Attributes
@@ -45,13 +45,13 @@
         Workspace of the request.
     tokens : int
         Memory that the request needs, in tokens.
-    first_at : float
+    first_attempt_at : float
         Time at which the caller's first attempt arrived.
-    due_at : float
+    retry_at : float
         Time at which the caller was told to retry.
-    until : float
+    expires_at : float
         Time at which the reservation expires.
-    place : bool
+    place_reserved : bool
         Whether capacity is reserved; otherwise the retry is only credited with its age.
     """
 
@@ -59,24 +59,24 @@
     service: str
     workspace: str
     tokens: int
-    first_at: float
-    due_at: float
-    until: float
-    place: bool
+    first_attempt_at: float
+    retry_at: float
+    expires_at: float
+    place_reserved: bool
 
 
 @dataclass(slots=True)
-class ReturnCounts:
+class CallerRetryCounts:
     """Counts of reservations by outcome, and of refusals by reason.
 
     Attributes
     ----------
     kept : int
-        Reserved places whose callers retried in time and started.
+        Reserved places key callers retried in time and started.
     broken : int
-        Reserved places whose callers retried in time and were refused again.
-    not_taken_up : int
-        Reserved places whose callers did not retry in time.
+        Reserved places key callers retried in time and were refused again.
+    missed : int
+        Reserved places key callers did not retry in time.
     dropped : int
         Reservations that were dropped because there were too many.
     refused : Counter of RefusalReason
@@ -85,39 +85,39 @@
 
     kept: int = 0
     broken: int = 0
-    not_taken_up: int = 0
+    missed: int = 0
     dropped: int = 0
     refused: Counter[RefusalReason] = field(default_factory=Counter)
 
 
-class ReturnBook:
+class CallerRetryRegistry:
     """Reservations for the retries of refused callers.
 
     Attributes
     ----------
-    counts : ReturnCounts
+    counts : CallerRetryCounts
         Reservations by outcome, and refusals by reason.
     """
 
     def __init__(self) -> None:
-        self.counts = ReturnCounts()
-        self._promises: dict[int, Promise] = {}
+        self.counts = CallerRetryCounts()
+        self._reservations: dict[int, RetryReservation] = {}
         # Heap of the expiry times; it holds those of claimed reservations for a while.
-        self._ends: list[tuple[float, int]] = []
+        self._expiries: list[tuple[float, int]] = []
         self._reserved_tokens: Counter[str] = Counter()
-        self._of_workspace: Counter[tuple[str, str]] = Counter()
+        self._workspace_counts: Counter[tuple[str, str]] = Counter()
 
     def __len__(self) -> int:
-        return len(self._promises)
+        return len(self._reservations)
 
     def reserved_tokens(self, service: str, now: float) -> int:
         """Return the memory of a service that is reserved for retries, in tokens."""
-        self._drop_ended(now)
+        self._drop_expired(now)
         return self._reserved_tokens[service]
 
-    def promise(
+    def reserve(
         self, fingerprint: int, service: str, need: Need, refuse: Refuse, now: float
-    ) -> Promise | None:
+    ) -> RetryReservation | None:
         """Make the reservation for a refused caller, or return its present one.
 
         A caller that retries before its time keeps its reservation and waits for the rest of
@@ -138,31 +138,31 @@
 
         Returns
         -------
-        Promise or None
+        RetryReservation or None
             Reservation in force; None if none was made.
         """
-        self._drop_ended(now)
-        before = self._promises.get(fingerprint)
-        if before is not None:
-            return before
-        if not fingerprint or self._of_workspace[service, need.workspace] >= MAX_OF_WORKSPACE:
+        self._drop_expired(now)
+        present = self._reservations.get(fingerprint)
+        if present is not None:
+            return present
+        if not fingerprint or self._workspace_counts[service, need.workspace] >= MAX_PER_WORKSPACE:
             return None
-        due_at = now + refuse.come_back_in_s
-        first_at = now - min(need.waited_s, MAX_AGE_S)
-        made = Promise(
+        retry_at = now + refuse.retry_after_s
+        first_attempt_at = now - min(need.waited_s, MAX_CREDITED_AGE_S)
+        made = RetryReservation(
             fingerprint,
             service,
             need.workspace,
             need.tokens,
-            first_at,
-            due_at,
-            due_at + KEPT_S,
-            refuse.kept,
+            first_attempt_at,
+            retry_at,
+            retry_at + EXPIRY_DELAY_S,
+            refuse.place_reserved,
         )
         self._add(made)
         return made
 
-    def take(self, fingerprint: int, now: float) -> Promise | None:
+    def claim(self, fingerprint: int, now: float) -> RetryReservation | None:
         """Remove and return the reservation of a caller that retries in time.
 
         Parameters
@@ -174,35 +174,38 @@
 
         Returns
         -------
-        Promise or None
+        RetryReservation or None
             None if the retry is early or late, or if the reservation was claimed already.
         """
-        self._drop_ended(now)
-        promise = self._promises.get(fingerprint)
-        if promise is None or now < promise.due_at - EARLY_S:
+        self._drop_expired(now)
+        reservation = self._reservations.get(fingerprint)
+        if reservation is None or now < reservation.retry_at - EARLY_TOLERANCE_S:
             return None
-        self._remove(promise)
-        return promise
+        self._remove(reservation)
+        return reservation
 
-    def give_back(self, promise: Promise, now: float) -> None:
+    def restore(self, reservation: RetryReservation, now: float) -> None:
         """Renew a claimed reservation: the instance of its caller stopped querying.
 
         Parameters
         ----------
-        promise : Promise
-            Reservation that `take` returned.
+        reservation : RetryReservation
+            Reservation that `claim` returned.
         now : float
             Monotonic time in seconds.
         """
-        self._drop_ended(now)
-        whose = promise.service, promise.workspace
-        if promise.fingerprint in self._promises or self._of_workspace[whose] >= MAX_OF_WORKSPACE:
+        self._drop_expired(now)
+        key = reservation.service, reservation.workspace
+        if (
+            reservation.fingerprint in self._reservations
+            or self._workspace_counts[key] >= MAX_PER_WORKSPACE
+        ):
             return
-        self._add(replace(promise, due_at=now, until=now + KEPT_S))
+        self._add(replace(reservation, retry_at=now, expires_at=now + EXPIRY_DELAY_S))
 
-    def settle(
+    def record_outcome(
         self,
-        promise: Promise | None,
+        reservation: RetryReservation | None,
         fingerprint: int,
         service: str,
         need: Need,
@@ -216,93 +219,103 @@
 
         Parameters
         ----------
-        promise : Promise or None
-            Reservation of the request that `take` returned.
+        reservation : RetryReservation or None
+            Reservation of the request that `claim` returned.
         fingerprint : int
             Keyed digest of the request; 0 if a retry can't be recognized.
         service : str
             Service of the request.
         need : Need
-            Resources and deadlines of the request, as `with_return` returned them.
+            Resources and deadlines of the request, as `with_caller_retry` returned them.
         start : Start
             Decision about the request.
         now : float
             Monotonic time in seconds.
         """
-        if promise is not None and promise.place:
+        if reservation is not None and reservation.place_reserved:
             self.counts.kept += isinstance(start, Begin)
             self.counts.broken += isinstance(start, Refuse)
         if not isinstance(start, Refuse):
             if isinstance(start, Begin):
-                self._forget(fingerprint)
+                self._drop_started(fingerprint)
             return start
         self.counts.refused[start.reason] += 1
-        made = self.promise(fingerprint, service, need, start, now)
+        made = self.reserve(fingerprint, service, need, start, now)
         if made is None:
-            return structs.replace(start, kept=False)
-        return Refuse(max(LEAST_S, made.due_at - now), start.reason, made.place)
-
-    def _add(self, promise: Promise) -> None:
-        if len(self._promises) >= MAX_PROMISES:
-            self._drop_first()
-        self._promises[promise.fingerprint] = promise
-        heapq.heappush(self._ends, (promise.until, promise.fingerprint))
-        self._reserved_tokens[promise.service] += promise.tokens if promise.place else 0
-        self._of_workspace[promise.service, promise.workspace] += 1
-
-    def _forget(self, fingerprint: int) -> None:
+            return structs.replace(start, place_reserved=False)
+        return Refuse(
+            max(MIN_RETRY_AFTER_S, made.retry_at - now), start.reason, made.place_reserved
+        )
+
+    def _add(self, reservation: RetryReservation) -> None:
+        if len(self._reservations) >= MAX_RESERVATIONS:
+            self._drop_earliest()
+        self._reservations[reservation.fingerprint] = reservation
+        heapq.heappush(self._expiries, (reservation.expires_at, reservation.fingerprint))
+        self._reserved_tokens[reservation.service] += (
+            reservation.tokens if reservation.place_reserved else 0
+        )
+        self._workspace_counts[reservation.service, reservation.workspace] += 1
+
+    def _drop_started(self, fingerprint: int) -> None:
         """Drop the reservation of a request that retried early and has started."""
-        promise = self._promises.get(fingerprint)
-        if promise is not None:
-            self._remove(promise)
-
-    def _remove(self, promise: Promise) -> None:
-        del self._promises[promise.fingerprint]
-        self._reserved_tokens[promise.service] -= promise.tokens if promise.place else 0
-        of_workspace = (promise.service, promise.workspace)
-        self._of_workspace[of_workspace] -= 1
-        if not self._of_workspace[of_workspace]:
-            del self._of_workspace[of_workspace]
+        reservation = self._reservations.get(fingerprint)
+        if reservation is not None:
+            self._remove(reservation)
+
+    def _remove(self, reservation: RetryReservation) -> None:
+        del self._reservations[reservation.fingerprint]
+        self._reserved_tokens[reservation.service] -= (
+            reservation.tokens if reservation.place_reserved else 0
+        )
+        key = (reservation.service, reservation.workspace)
+        self._workspace_counts[key] -= 1
+        if not self._workspace_counts[key]:
+            del self._workspace_counts[key]
         # Expiry times of claimed reservations stay in the heap, which must remain bounded.
-        if len(self._ends) > 2 * MAX_PROMISES:
-            self._ends = [(p.until, p.fingerprint) for p in self._promises.values()]
-            heapq.heapify(self._ends)
-
-    def _drop_ended(self, now: float) -> None:
-        while self._ends and self._ends[0][0] <= now:
-            promise = self._pop_first()
-            if promise is not None:
-                self.counts.not_taken_up += promise.place
-                self._remove(promise)
-
-    def _drop_first(self) -> None:
-        while self._ends:
-            promise = self._pop_first()
-            if promise is not None:
+        if len(self._expiries) > 2 * MAX_RESERVATIONS:
+            self._expiries = [(p.expires_at, p.fingerprint) for p in self._reservations.values()]
+            heapq.heapify(self._expiries)
+
+    def _drop_expired(self, now: float) -> None:
+        while self._expiries and self._expiries[0][0] <= now:
+            reservation = self._pop_earliest()
+            if reservation is not None:
+                self.counts.missed += reservation.place_reserved
+                self._remove(reservation)
+
+    def _drop_earliest(self) -> None:
+        while self._expiries:
+            reservation = self._pop_earliest()
+            if reservation is not None:
                 self.counts.dropped += 1
-                self._remove(promise)
+                self._remove(reservation)
                 return
 
-    def _pop_first(self) -> Promise | None:
+    def _pop_earliest(self) -> RetryReservation | None:
         """Return the reservation that expires first, or None if it was claimed already."""
-        until, fingerprint = heapq.heappop(self._ends)
-        promise = self._promises.get(fingerprint)
-        return promise if promise is not None and promise.until == until else None
+        expires_at, fingerprint = heapq.heappop(self._expiries)
+        reservation = self._reservations.get(fingerprint)
+        return (
+            reservation
+            if reservation is not None and reservation.expires_at == expires_at
+            else None
+        )
 
 
-def with_return(need: Need, promise: Promise | None, now: float) -> Need:
+def with_caller_retry(need: Need, reservation: RetryReservation | None, now: float) -> Need:
     """Return the needs of a retry, credited with the age since its first attempt.
 
     Parameters
     ----------
     need : Need
         Resources and deadlines of the request by itself.
-    promise : Promise or None
-        Reservation that `ReturnBook.take` returned.
+    reservation : RetryReservation or None
+        Reservation that `CallerRetryRegistry.claim` returned.
     now : float
         Monotonic time in seconds.
     """
-    if promise is None:
+    if reservation is None:
         return need
-    age_s = min(MAX_AGE_S, now - promise.first_at)
+    age_s = min(MAX_CREDITED_AGE_S, now - reservation.first_attempt_at)
     return structs.replace(need, waited_s=max(need.waited_s, age_s), returner=True)
--- a/reachlink/scheduling/_refusal.py
+++ b/reachlink/scheduling/_refusal.py
@@ -16,24 +16,24 @@
 from reachlink.scheduling._queue_state import QueueState
 
 # Minimum retry time, in seconds: the known state of the capacity is this old.
-LEAST_S = 0.1
+MIN_RETRY_AFTER_S = 0.1
 # Maximum retry time, in seconds: the grant rate is not predictable for longer.
-MOST_S = 30.0
+MAX_RETRY_AFTER_S = 30.0
 # Callers respect a retry time up to this share of their remaining time and shorten a longer
 # one.
-OBEYED_SHARE = 1.0 / 3.0
+RESPECTED_SHARE = 1.0 / 3.0
 # Random share by which a retry time is lengthened, or shortened if it is at its maximum.
-SPREAD = 0.1
+JITTER_SHARE = 0.1
 # A service is overloaded for a request whose wait takes at least this share of the time until
 # its first event is due: with a longer wait, too little is left for processing its prompt.
-CROWDED_SHARE = 0.25
+OVERLOAD_SHARE = 0.25
 # Maximum share of the freed capacity that is reserved for retries: retries are usually late
 # already and take the capacity from requests that could be in time.
-PROMISED_SHARE = 0.1
+RESERVED_SHARE = 0.1
 # Assumed wait while no grant rate is known, in seconds.
-UNKNOWN_WAIT_S = 1.0
+DEFAULT_WAIT_S = 1.0
 # Maximum of an expected wait, in seconds.
-LONGEST_WAIT_S = 3600.0
+MAX_EXPECTED_WAIT_S = 3600.0
 
 
 class RefusalReason(Enum):
@@ -49,18 +49,18 @@
 
     Attributes
     ----------
-    come_back_in_s : float
+    retry_after_s : float
         Time after which the caller should retry, in seconds; finite.
     reason : RefusalReason
         Reason of the refusal.
-    kept : bool
+    place_reserved : bool
         Whether capacity is expected at that time and reserved for the retry. Otherwise the
         time is only the longest that the caller respects.
     """
 
-    come_back_in_s: float
+    retry_after_s: float
     reason: RefusalReason = RefusalReason.NO_ROOM
-    kept: bool = False
+    place_reserved: bool = False
 
 
 def expected_wait_s(need: Need, line: QueueState) -> float:
@@ -76,16 +76,16 @@
         State of the queue ahead of the request.
     """
     if line.granted_tokens_per_s <= 0.0:
-        return UNKNOWN_WAIT_S
+        return DEFAULT_WAIT_S
     wait_s = (line.ahead_tokens + need.tokens) / line.granted_tokens_per_s
     if not need.returner:
         # Retries take at most their reserved share of the capacity.
         all_told_s = line.reserved_tokens / line.granted_tokens_per_s
-        wait_s = min(wait_s + all_told_s, wait_s / (1.0 - PROMISED_SHARE))
-    return min(LONGEST_WAIT_S, wait_s)
+        wait_s = min(wait_s + all_told_s, wait_s / (1.0 - RESERVED_SHARE))
+    return min(MAX_EXPECTED_WAIT_S, wait_s)
 
 
-def refusal(need: Need, line: QueueState, random: Random) -> Refuse | None:
+def refusal_if_needed(need: Need, line: QueueState, random: Random) -> Refuse | None:
     """Return the refusal of a request that finds no capacity, or None if it may wait.
 
     No request is refused while the grant rate is unknown. Requests of a workspace that has
@@ -105,14 +105,14 @@
         return None
     wait_s = expected_wait_s(need, line)
     if wait_s >= latest_start_s(need):
-        return refuse(need, line, RefusalReason.NO_ROOM, random)
-    crowded = wait_s >= CROWDED_SHARE * need.first_by_s
+        return make_refusal(need, line, RefusalReason.NO_ROOM, random)
+    crowded = wait_s >= OVERLOAD_SHARE * need.first_by_s
     if line.over_share and crowded and not need.returner:
-        return refuse(need, line, RefusalReason.OVER_SHARE, random)
+        return make_refusal(need, line, RefusalReason.OVER_SHARE, random)
     return None
 
 
-def refuse(need: Need, line: QueueState, reason: RefusalReason, random: Random) -> Refuse:
+def make_refusal(need: Need, line: QueueState, reason: RefusalReason, random: Random) -> Refuse:
     """Return a refusal with its retry time.
 
     Parameters
@@ -126,28 +126,28 @@
     random : random.Random
         Source of the jitter on retry times.
     """
-    most_s = most_told_s(need)
-    place_s = _slot_s(need, line) * (1.0 + SPREAD * random.random())
+    max_s = max_retry_after_s(need)
+    place_s = _earliest_reservation_s(need, line) * (1.0 + JITTER_SHARE * random.random())
     known = line.granted_tokens_per_s > 0.0
-    if place_s <= most_s:
-        return Refuse(max(LEAST_S, place_s), reason, kept=known)
-    return Refuse(max(LEAST_S, most_s * (1.0 - SPREAD * random.random())), reason)
+    if place_s <= max_s:
+        return Refuse(max(MIN_RETRY_AFTER_S, place_s), reason, place_reserved=known)
+    return Refuse(max(MIN_RETRY_AFTER_S, max_s * (1.0 - JITTER_SHARE * random.random())), reason)
 
 
-def _slot_s(need: Need, line: QueueState) -> float:
+def _earliest_reservation_s(need: Need, line: QueueState) -> float:
     """Return the time until capacity can be reserved for a retry, in seconds.
 
     It comes after the retries for which capacity is reserved already.
     """
     if line.granted_tokens_per_s <= 0.0:
-        return UNKNOWN_WAIT_S
-    promised_s = (line.reserved_tokens + need.tokens) / (PROMISED_SHARE * line.granted_tokens_per_s)
+        return DEFAULT_WAIT_S
+    promised_s = (line.reserved_tokens + need.tokens) / (RESERVED_SHARE * line.granted_tokens_per_s)
     return max(expected_wait_s(need, line), promised_s)
 
 
-def most_told_s(need: Need) -> float:
+def max_retry_after_s(need: Need) -> float:
     """Return the longest retry time that a caller respects, in seconds."""
-    return min(MOST_S, max(LEAST_S, OBEYED_SHARE * need.give_up_in_s))
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, RESPECTED_SHARE * need.give_up_in_s))
 
 
 def is_over_share(workspace: str, asked: Mapping[str, float], room: float) -> bool:
@@ -169,10 +169,10 @@
     >>> is_over_share("other", {"large": 60.0, "small": 10.0, "other": 40.0}, 100.0)
     False
     """
-    return asked.get(workspace, 0.0) > equal_share(asked, room)
+    return asked.get(workspace, 0.0) > fair_share(asked, room)
 
 
-def equal_share(asked: Mapping[str, float], room: float) -> float:
+def fair_share(asked: Mapping[str, float], room: float) -> float:
     """Return the max-min fair share of each workspace.
 
     What a workspace leaves of its share goes to the others.
--- a/reachlink/scheduling/_shares.py
+++ b/reachlink/scheduling/_shares.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from math import log
 
-from reachlink.scheduling._refusal import equal_share
+from reachlink.scheduling._refusal import fair_share
 
 # Half-life of a grant's weight, in seconds: longer than most answers run.
 HALF_LIFE_S = 15.0
@@ -67,7 +67,7 @@
         if tokens_per_s <= 0.0:
             return float("inf")
         had = {name: self.tokens(name, now) for name in self._granted if name not in asked}
-        return equal_share({**had, **asked}, tokens_per_s * COUNTED_S)
+        return fair_share({**had, **asked}, tokens_per_s * COUNTED_S)
 
     def tokens(self, workspace: str, now: float) -> float:
         """Return the recent grants of a workspace, in tokens."""
--- a/reachlink/scheduling/_start.py
+++ b/reachlink/scheduling/_start.py
@@ -13,7 +13,7 @@
 from reachlink.scheduling._need import Need
 from reachlink.scheduling._option import Option
 from reachlink.scheduling._queue_state import EMPTY_QUEUE, QueueState
-from reachlink.scheduling._refusal import Refuse, expected_wait_s, refusal
+from reachlink.scheduling._refusal import Refuse, expected_wait_s, refusal_if_needed
 from reachlink.scheduling._terms import REQUEST, Terms
 
 
@@ -34,13 +34,13 @@
 
     Attributes
     ----------
-    in_s : float
+    expected_wait_s : float
         Expected time until it starts, in seconds; a default if unknown.
     ahead : int
         Number of requests ahead of it.
     """
 
-    in_s: float
+    expected_wait_s: float
     ahead: int = 0
 
 
@@ -74,5 +74,5 @@
     if name is not None and not line.ahead:
         return Begin(name)
     # While a replica has capacity, waiting requests start soon, this one among them.
-    refused = refusal(need, line, random) if name is None else None
+    refused = refusal_if_needed(need, line, random) if name is None else None
     return refused or Wait(expected_wait_s(need, line), line.ahead)
--- a/reachlink/scheduling/tests/crowd.py
+++ b/reachlink/scheduling/tests/crowd.py
@@ -231,9 +231,9 @@
         self.engines[int(replica)].start(asked)
         del self._known[int(replica)]
 
-    def refuse(self, asked: Asked, come_back_in_s: float) -> None:
+    def refuse(self, asked: Asked, retry_after_s: float) -> None:
         asked.refused_at = self.now
-        back_at = self.now + max(0.1, come_back_in_s)
+        back_at = self.now + max(0.1, retry_after_s)
         if asked.may_return and back_at < asked.at + asked.kind.deadline_s:
             asked.may_return = False
             self.returns.append((back_at, asked))
@@ -372,7 +372,7 @@
             self.line.leave(asked.name, now)
             free = choose(crowd.options(), asked.tokens, crowd.random, self.terms) is not None
             self.refused[start.reason, asked.workspace, free] += 1
-            crowd.refuse(self.waiting.pop(asked.name), start.come_back_in_s)
+            crowd.refuse(self.waiting.pop(asked.name), start.retry_after_s)
 
     def look(self, crowd: Crowd) -> None:
         for waiting in self.line.expire(crowd.now):
--- a/reachlink/scheduling/tests/test_line.py
+++ b/reachlink/scheduling/tests/test_line.py
@@ -261,8 +261,8 @@
     assert isinstance(start, Refuse)
     assert expected_wait_s(USUAL, state) > USUAL.give_up_in_s
     # Its caller keeps to no longer time, and no place is promised for then.
-    assert start.come_back_in_s <= USUAL.give_up_in_s / 3.0
-    assert not start.kept
+    assert start.retry_after_s <= USUAL.give_up_in_s / 3.0
+    assert not start.place_reserved
 
 
 def test_how_fast_room_came_in_a_crowd_long_ago_says_nothing_of_this_one():
--- a/reachlink/scheduling/tests/test_refusal.py
+++ b/reachlink/scheduling/tests/test_refusal.py
@@ -9,12 +9,12 @@
     Need,
     QueueState,
     RefusalReason,
-    equal_share,
     expected_wait_s,
+    fair_share,
     is_over_share,
     latest_start_s,
-    refusal,
-    refuse,
+    make_refusal,
+    refusal_if_needed,
 )
 from reachlink.scheduling import _refusal as rules
 
@@ -33,54 +33,54 @@
 
 
 def test_who_can_begin_before_its_deadline_waits_though_it_is_late():
-    assert refusal(NEED, line(20.0), Random(1)) is None
+    assert refusal_if_needed(NEED, line(20.0), Random(1)) is None
 
 
 def test_who_could_not_end_before_its_deadline_is_refused():
     latest_s = latest_start_s(NEED)
     assert 25.0 < latest_s < NEED.give_up_in_s
-    assert refusal(NEED, line(latest_s - 0.1), Random(1)) is None
-    refused = refusal(NEED, line(latest_s + 0.1), Random(1))
+    assert refusal_if_needed(NEED, line(latest_s - 0.1), Random(1)) is None
+    refused = refusal_if_needed(NEED, line(latest_s + 0.1), Random(1))
     assert refused.reason is RefusalReason.NO_ROOM
-    assert not refused.kept
+    assert not refused.place_reserved
 
 
 def test_nobody_is_refused_for_a_wait_that_nobody_has_measured():
     unknown = QueueState(500, 10_000_000)
-    assert refusal(NEED, unknown, Random(1)) is None
-    assert refuse(NEED, unknown, RefusalReason.LINE_FULL, Random(1)).kept is False
+    assert refusal_if_needed(NEED, unknown, Random(1)) is None
+    assert make_refusal(NEED, unknown, RefusalReason.LINE_FULL, Random(1)).place_reserved is False
 
 
 def test_a_workspace_over_its_share_is_refused_first():
-    crowded_s = rules.CROWDED_SHARE * NEED.first_by_s
-    assert refusal(NEED, line(crowded_s - 0.1, over_share=True), Random(1)) is None
-    refused = refusal(NEED, line(crowded_s + 0.1, over_share=True), Random(1))
+    crowded_s = rules.OVERLOAD_SHARE * NEED.first_by_s
+    assert refusal_if_needed(NEED, line(crowded_s - 0.1, over_share=True), Random(1)) is None
+    refused = refusal_if_needed(NEED, line(crowded_s + 0.1, over_share=True), Random(1))
     assert refused.reason is RefusalReason.OVER_SHARE
     # Its place comes in a time that its caller keeps to.
-    assert refused.kept
-    assert refusal(NEED, line(5.0), Random(1)) is None
+    assert refused.place_reserved
+    assert refusal_if_needed(NEED, line(5.0), Random(1)) is None
 
 
 def test_who_has_come_back_is_not_refused_for_its_workspace_again():
     returner = changed(returner=True)
-    assert refusal(returner, line(5.0, over_share=True), Random(1)) is None
+    assert refusal_if_needed(returner, line(5.0, over_share=True), Random(1)) is None
 
 
 def test_places_that_are_promised_are_not_given_to_newcomers():
     few, many = line(1.0, told_tokens=1000), line(1.0, told_tokens=500_000)
     assert expected_wait_s(NEED, few) == pytest.approx(1.05)
     # They do not come all at once: each has its slot.
-    assert expected_wait_s(NEED, many) == pytest.approx(1.0 / (1.0 - rules.PROMISED_SHARE))
+    assert expected_wait_s(NEED, many) == pytest.approx(1.0 / (1.0 - rules.RESERVED_SHARE))
     assert expected_wait_s(changed(returner=True), many) == pytest.approx(1.0)
 
 
 def test_no_more_is_promised_than_its_part_of_the_room_that_comes():
-    promised_s = rules.MOST_S * DRAIN * rules.PROMISED_SHARE
+    promised_s = rules.MAX_RETRY_AFTER_S * DRAIN * rules.RESERVED_SHARE
     patient = changed(give_up_in_s=math.inf)
     told = line(1.0, told_tokens=round(promised_s) - NEED.tokens - 5000)
-    assert refuse(patient, told, RefusalReason.OVER_SHARE, Random(1)).kept
+    assert make_refusal(patient, told, RefusalReason.OVER_SHARE, Random(1)).place_reserved
     told = line(1.0, told_tokens=round(promised_s))
-    assert not refuse(patient, told, RefusalReason.OVER_SHARE, Random(1)).kept
+    assert not make_refusal(patient, told, RefusalReason.OVER_SHARE, Random(1)).place_reserved
 
 
 @pytest.mark.parametrize("drain", [0.0, 1e-300, 0.1, 1000.0])
@@ -90,25 +90,25 @@
     need = changed(give_up_in_s=give_up_in_s)
     state = QueueState(10, 100_000, drain, 50_000)
     assert math.isfinite(expected_wait_s(need, state))
-    told_s = refuse(need, state, reason, Random(1)).come_back_in_s
-    assert rules.LEAST_S <= told_s <= rules.MOST_S
-    assert told_s <= max(rules.LEAST_S, rules.OBEYED_SHARE * give_up_in_s)
+    told_s = make_refusal(need, state, reason, Random(1)).retry_after_s
+    assert rules.MIN_RETRY_AFTER_S <= told_s <= rules.MAX_RETRY_AFTER_S
+    assert told_s <= max(rules.MIN_RETRY_AFTER_S, rules.RESPECTED_SHARE * give_up_in_s)
 
 
 def test_a_time_with_a_place_is_not_before_the_place():
     for seed in range(50):
-        refused = refuse(NEED, line(5.0), RefusalReason.LINE_FULL, Random(seed))
-        assert refused.kept and 5.0 <= refused.come_back_in_s <= 5.5
+        refused = make_refusal(NEED, line(5.0), RefusalReason.LINE_FULL, Random(seed))
+        assert refused.place_reserved and 5.0 <= refused.retry_after_s <= 5.5
 
 
 def test_those_who_are_told_one_after_the_other_get_slots_of_their_own():
     random, told_tokens, times = Random(1), 0, []
     for _ in range(4):
-        refused = refuse(NEED, line(0.5, told_tokens), RefusalReason.LINE_FULL, random)
-        assert refused.kept
-        times.append(refused.come_back_in_s)
+        refused = make_refusal(NEED, line(0.5, told_tokens), RefusalReason.LINE_FULL, random)
+        assert refused.place_reserved
+        times.append(refused.retry_after_s)
         told_tokens += NEED.tokens
-    slot_s = NEED.tokens / (rules.PROMISED_SHARE * DRAIN)
+    slot_s = NEED.tokens / (rules.RESERVED_SHARE * DRAIN)
     gaps = [after - before for before, after in zip(times, times[1:], strict=False)]
     assert all(gap > slot_s / 2 for gap in gaps)
 
@@ -116,7 +116,8 @@
 def test_those_who_are_told_the_bound_do_not_come_back_at_one_time():
     random = Random(1)
     times = sorted(
-        refuse(NEED, line(60.0), RefusalReason.NO_ROOM, random).come_back_in_s for _ in range(100)
+        make_refusal(NEED, line(60.0), RefusalReason.NO_ROOM, random).retry_after_s
+        for _ in range(100)
     )
     assert times[-1] <= 13.0
     assert times[-1] - times[0] > 1.0
@@ -124,12 +125,12 @@
 
 def test_what_one_workspace_leaves_goes_to_the_others():
     asked = {"small": 10.0, "middle": 30.0, "large": 100.0}
-    assert equal_share(asked, 100.0) == pytest.approx(60.0)
+    assert fair_share(asked, 100.0) == pytest.approx(60.0)
     assert [name for name in asked if is_over_share(name, asked, 100.0)] == ["large"]
 
 
 def test_where_there_is_enough_nobody_is_over_its_share():
-    assert equal_share({"large": 90.0, "small": 10.0}, 100.0) == math.inf
+    assert fair_share({"large": 90.0, "small": 10.0}, 100.0) == math.inf
     assert not is_over_share("large", {"large": 90.0, "small": 10.0}, 100.0)
     assert not is_over_share("nobody", {}, 0.0)
 
--- a/reachlink/scheduling/tests/test_return_load.py
+++ b/reachlink/scheduling/tests/test_return_load.py
@@ -15,19 +15,19 @@
 
 from reachlink.scheduling import (
     Begin,
+    CallerRetryRegistry,
     Need,
     Option,
-    Promise,
     QueueState,
     RefusalReason,
     Refuse,
-    ReturnBook,
+    RetryReservation,
     Start,
     Wait,
     best_start,
     choose,
     is_over_share,
-    with_return,
+    with_caller_retry,
 )
 
 # Engines as in the crowded deployments; 0.6 of the requests are short verdicts.
@@ -76,7 +76,7 @@
     arrived_at: float
     tries: int = 0
     returned: bool = False
-    promise: Promise | None = None
+    reservation: RetryReservation | None = None
 
     @property
     def tokens(self) -> int:
@@ -110,7 +110,7 @@
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        self.book = ReturnBook()
+        self.book = CallerRetryRegistry()
         self.used = [0] * REPLICAS
         self.running = [0] * REPLICAS
         self.ends: list[tuple[float, int, int, int, str]] = []
@@ -166,7 +166,7 @@
         ]
 
     def _promised(self, caller: Caller) -> bool:
-        return caller.promise is not None and caller.promise.place
+        return caller.reservation is not None and caller.reservation.place_reserved
 
     def _order(self, caller: Caller) -> tuple[bool, bool, float]:
         in_time_until = caller.first_at + caller.kind.first_by_s
@@ -204,8 +204,8 @@
     def _arrive(self, caller: Caller) -> None:
         need = caller.need(self.now)
         if self.way is Way.PLACE_KEPT:
-            caller.promise = self.book.take(caller.number, self.now)
-            need = with_return(need, caller.promise, self.now)
+            caller.reservation = self.book.claim(caller.number, self.now)
+            need = with_caller_retry(need, caller.reservation, self.now)
         self._settle(caller, self._decide(caller, need), need)
 
     def _decide(self, caller: Caller, need: Need) -> Start:
@@ -232,8 +232,8 @@
 
     def _settle(self, caller: Caller, start: Start, need: Need | None = None) -> None:
         if self.way is Way.PLACE_KEPT:
-            start = self.book.settle(
-                caller.promise,
+            start = self.book.record_outcome(
+                caller.reservation,
                 caller.number,
                 SERVICE,
                 need or caller.need(self.now),
@@ -266,7 +266,7 @@
         if caller.tries >= TRIES or stays_away or left_s <= 0.0:
             self.lost[caller.workspace] += 1
             return
-        obeyed_s = min(refuse.come_back_in_s, left_s / 3.0)
+        obeyed_s = min(refuse.retry_after_s, left_s / 3.0)
         at = self.now + obeyed_s + self.random.uniform(0.0, LATE_S)
         heapq.heappush(self.coming, (at, caller.number, caller))
 
--- a/reachlink/scheduling/tests/test_start.py
+++ b/reachlink/scheduling/tests/test_start.py
@@ -19,15 +19,15 @@
 def test_it_waits_for_room_that_comes_in_its_time():
     start = best_start([FULL], NEED, RANDOM, QueueState(2, 7400, granted_tokens_per_s=3700.0))
     assert isinstance(start, Wait)
-    assert start.in_s == pytest.approx(3.0)
+    assert start.expected_wait_s == pytest.approx(3.0)
 
 
 def test_it_is_refused_at_once_where_room_comes_too_late():
     start = best_start([FULL], NEED, RANDOM, QueueState(40, 148_000, granted_tokens_per_s=3700.0))
     assert isinstance(start, Refuse)
     # Its place would come in 41 s; no caller keeps to more than a third of its 39 s.
-    assert 13.0 * 0.9 <= start.come_back_in_s <= 13.0
-    assert not start.kept
+    assert 13.0 * 0.9 <= start.retry_after_s <= 13.0
+    assert not start.place_reserved
 
 
 def test_who_comes_later_does_not_pass_those_who_wait():
@@ -38,7 +38,7 @@
 def test_with_no_line_and_no_drain_known_it_waits():
     start = best_start([FULL], NEED, RANDOM)
     assert isinstance(start, Wait)
-    assert 0.0 < start.in_s < 10.0
+    assert 0.0 < start.expected_wait_s < 10.0
 
 
 def test_nobody_is_refused_while_a_place_is_free():
