--- a/reachlink/coordination/tests/test_line_failures.py
+++ b/reachlink/coordination/tests/test_line_failures.py
@@ -10,8 +10,8 @@
 from reachlink.coordination._asking import ANSWER_TIMEOUT_S
 from reachlink.coordination.tests.world import SERVICE, Instance, fleet
 from reachlink.requests import CallerRequest, LoadNote, RequestFailedError
-from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._line_placing import LinePlacing
+from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.routing import Backend, RequestKind, Route
 from reachlink.scheduling import Refuse
 from reachlink.testing import run_virtually
@@ -425,13 +425,13 @@
 def test_a_refusal_reaches_the_caller_with_when_to_come_back():
     async def story(scene: Scene) -> None:
         member = scene.others[0]
-        dispatch = Dispatch(member.parts)
+        dispatch = RequestDispatcher(member.parts)
         facts = GenerationFacts("m", 3000, 5000, (), 0)
         relay = RelayRequest("id-1", "POST", "/x", [], b"", generation=facts)
         asked = CallerRequest(relay, ROUTE, SERVICE, scene.network.now, TIMEOUT_S)
-        attempts = dispatch.tries.begin(asked)
+        attempts = dispatch.retry_policy.begin(asked)
         asked.refusal = Refuse(7.5)
-        failed = dispatch.tries.failure(asked, attempts)
+        failed = dispatch.retry_policy.failure(asked, attempts)
         assert isinstance(failed, RequestFailedError)
         assert (failed.status, failed.reason) == (503, "no_room")
         assert failed.retry_after_s == pytest.approx(7.5)
--- a/reachlink/kernel/tests/test_layers.py
+++ b/reachlink/kernel/tests/test_layers.py
@@ -44,7 +44,7 @@
     ROOT / "requests" / "_attempts.py",
     ROOT / "requests" / "_book.py",
     ROOT / "requests" / "_cold_rates.py",
-    ROOT / "requests" / "_joint.py",
+    ROOT / "requests" / "_event_merger.py",
     ROOT / "requests" / "_model.py",
     ROOT / "requests" / "_patience.py",
     ROOT / "requests" / "_shared_load.py",
--- a/reachlink/requests/__init__.py
+++ b/reachlink/requests/__init__.py
@@ -1,6 +1,6 @@
 """The way of a request, free of any border: place, dispatch, follow, finish."""
 
-from reachlink.requests._attempts import AttemptLog, Setback
+from reachlink.requests._attempts import AttemptFailure, AttemptLog
 from reachlink.requests._book import Flight, ReplicaBook, ReplicaState
 from reachlink.requests._cold_rates import Deciders
 from reachlink.requests._departures import NOTICE_S, Departures
@@ -48,7 +48,7 @@
     "RequestRunner",
     "RequestsError",
     "RunnerParts",
-    "Setback",
+    "AttemptFailure",
     "SharedLoad",
     "StreamCutError",
     "shortened",
--- a/reachlink/requests/_attempts.py
+++ b/reachlink/requests/_attempts.py
@@ -9,7 +9,7 @@
 from reachlink.upstreams import UpstreamHeldBackError, UpstreamLimitedError
 
 
-class Setback(Enum):
+class AttemptFailure(Enum):
     """Why an attempt brought no answer."""
 
     UNREACHABLE = "unreachable"
@@ -23,23 +23,23 @@
 
 
 # The replica may get the request a little later.
-_PACED = frozenset({Setback.BACKOFF, Setback.LIMITED})
-_DID_NOT_RUN = _PACED | {Setback.UNREACHABLE, Setback.GONE, Setback.NOT_RUN}
+_PACED = frozenset({AttemptFailure.BACKOFF, AttemptFailure.LIMITED})
+_DID_NOT_RUN = _PACED | {AttemptFailure.UNREACHABLE, AttemptFailure.GONE, AttemptFailure.NOT_RUN}
 # The replica that was meant did not get the request.
-_NOT_SENT = _PACED | {Setback.UNREACHABLE, Setback.GONE}
+_NOT_SENT = _PACED | {AttemptFailure.UNREACHABLE, AttemptFailure.GONE}
 # Nor did any other: another attempt is no repeat.
-BUDGET_EXEMPT = _PACED | {Setback.UNREACHABLE}
+BUDGET_EXEMPT = _PACED | {AttemptFailure.UNREACHABLE}
 
 
 @singledispatch
-def pacing_failure(error: UpstreamHeldBackError) -> Setback:
+def pacing_failure(error: UpstreamHeldBackError) -> AttemptFailure:
     """Return what it means that a replica may get nothing now."""
-    return Setback.BACKOFF
+    return AttemptFailure.BACKOFF
 
 
 @pacing_failure.register
-def _rate_limit_failure(error: UpstreamLimitedError) -> Setback:
-    return Setback.LIMITED
+def _rate_limit_failure(error: UpstreamLimitedError) -> AttemptFailure:
+    return AttemptFailure.LIMITED
 
 
 @dataclass(slots=True)
@@ -71,15 +71,15 @@
         """What can be said of the request."""
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
-    def note(self, setback: Setback) -> None:
+    def record_failure(self, failure: AttemptFailure) -> None:
         """An attempt ended without an answer to give."""
-        self.reason = setback.value
-        if setback not in _NOT_SENT:
+        self.reason = failure.value
+        if failure not in _NOT_SENT:
             self.sent += 1
-        if setback not in _DID_NOT_RUN:
+        if failure not in _DID_NOT_RUN:
             self.may_have_run = True
 
-    def may_go_on(self) -> bool:
+    def may_try_another_replica(self) -> bool:
         """Return whether another replica may get the request."""
         if self.sent >= self.max_attempts:
             return False
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -1,8 +1,8 @@
 """Choice of replicas for copies of one generation's memory."""
 
-from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._place_question import Purpose
+from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.upstreams import Replica
 
 # How long a replica that refused or evicted a generation's copy is avoided by the generation,
@@ -15,13 +15,13 @@
 
     Parameters
     ----------
-    dispatch : Dispatch
+    dispatch : RequestDispatcher
         Chooses replicas.
     request : CallerRequest
         Request of the generation.
     """
 
-    def __init__(self, dispatch: Dispatch, request: CallerRequest) -> None:
+    def __init__(self, dispatch: RequestDispatcher, request: CallerRequest) -> None:
         self._dispatch = dispatch
         self._placing = dispatch.placing
         self._request = request
--- a/reachlink/requests/_joint.py
+++ b/reachlink/requests/_event_merger.py
@@ -6,15 +6,15 @@
 from reachlink.upstreams import StreamEvent
 
 
-class Joint:
+class EventMerger:
     """Passes each event once and in order, wherever its piece came from.
 
     Examples
     --------
-    >>> joint = Joint()
-    >>> joint.take([StreamEvent(1, b"a"), StreamEvent(2, b"b")])
+    >>> merger = EventMerger()
+    >>> merger.merge([StreamEvent(1, b"a"), StreamEvent(2, b"b")])
     b'ab'
-    >>> joint.take([StreamEvent(2, b"b"), StreamEvent(3, b"c")])
+    >>> merger.merge([StreamEvent(2, b"b"), StreamEvent(3, b"c")])
     b'c'
     """
 
@@ -22,11 +22,11 @@
         self._last = -1
 
     @property
-    def last(self) -> int:
+    def last_event_number(self) -> int:
         """Number of the last event that was passed on; -1 before the first."""
         return self._last
 
-    def take(self, events: Iterable[StreamEvent]) -> bytes:
+    def merge(self, events: Iterable[StreamEvent]) -> bytes:
         """Return the bytes of the events that follow, without repeated ones.
 
         Raises
--- a/reachlink/requests/_generation_places.py
+++ b/reachlink/requests/_generation_places.py
@@ -3,7 +3,7 @@
 A generation runs at its primary. A copy of its memory is kept in one of two ways:
 
 - Shadow copy: this instance repeatedly requests transfers of the memory to another
-  replica, and can evict the copy if its memory is needed (`_shadow`).
+  replica, and can evict the copy if its memory is needed (`_shadow_copy`).
 - Backup, for replicas that don't transfer memory on request: the primary itself sends the
   memory to the backup while the generation grows, and the copy cannot be freed early.
 """
@@ -13,11 +13,11 @@
 
 from reachlink.requests._book import Flight
 from reachlink.requests._copy_targets import CopyTargets
-from reachlink.requests._dispatch import Dispatch
-from reachlink.requests._joint import Joint
+from reachlink.requests._event_merger import EventMerger
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._outlook import GenerationProgress
-from reachlink.requests._shadow import Shadow
+from reachlink.requests._request_dispatcher import RequestDispatcher
+from reachlink.requests._shadow_copy import ShadowCopy
 from reachlink.upstreams import MovedMemory, MoveSetback, Replica
 
 # Interval between two checks of a generation's replicas, in seconds.
@@ -62,25 +62,27 @@
 
     Parameters
     ----------
-    dispatch : Dispatch
+    dispatch : RequestDispatcher
         Chooses replicas and records allocations.
     request : CallerRequest
         Request of the generation.
-    joint : Joint
+    joint : EventMerger
         Provides the number of the last event.
     """
 
-    def __init__(self, dispatch: Dispatch, request: CallerRequest, joint: Joint) -> None:
+    def __init__(
+        self, dispatch: RequestDispatcher, request: CallerRequest, joint: EventMerger
+    ) -> None:
         self._dispatch = dispatch
         self._placing = dispatch.placing
         self._request = request
         self._joint = joint
         self._primary: _ReplicaAllocation | None = None
         self._backup: _ReplicaAllocation | None = None
-        self._shadow: Shadow | None = None
+        self._shadow: ShadowCopy | None = None
         self._shadow_allocation: _ReplicaAllocation | None = None
         # Last shadow copy that was discarded; a transfer to it may still be in progress.
-        self._discarded_shadow: Shadow | None = None
+        self._discarded_shadow: ShadowCopy | None = None
         self._targets = CopyTargets(dispatch, request)
         # Monotonic time in seconds at which the primary was found to be leaving; None if it
         # is not.
@@ -153,7 +155,7 @@
         """Return the replicas and memory from which the generation may resume, best first."""
         found: list[tuple[Replica, MovedMemory]] = []
         if self._shadow is not None and self._shadow_allocation is not None:
-            memory = await self._shadow.take()
+            memory = await self._shadow.stop()
             if memory is not None and self._may_resume_from(self._shadow_allocation):
                 found.append((self._shadow_allocation.replica, memory))
             self._shadow = None
@@ -170,7 +172,7 @@
         """Maintain a shadow copy at a replica that stays, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            if self._primary is not None and self._joint.last >= 0:
+            if self._primary is not None and self._joint.last_event_number >= 0:
                 await self._check_copies()
 
     async def _check_copies(self) -> None:
@@ -197,8 +199,8 @@
         flight = self._primary.allocation
         flight.stake = self._expected_loss()
         if self._shadow is not None and self._shadow_allocation is not None:
-            self._shadow_allocation.allocation.arriving = not self._shadow.arrived
-        covered = self._backup is not None or (self._shadow is not None and self._shadow.arrived)
+            self._shadow_allocation.allocation.arriving = not self._shadow.has_memory
+        covered = self._backup is not None or (self._shadow is not None and self._shadow.has_memory)
         flight.uncovered = not covered and self._is_worth_departure_copy()
 
     def _may_start_copy(self) -> bool:
@@ -208,7 +210,7 @@
             return False
         if self._leaving_since is None:
             # Prevents all generations from starting copies at once at a new replica.
-            return self._dispatch.draw() < BEGIN_SHARE
+            return self._dispatch.random_fraction() < BEGIN_SHARE
         assert self._primary is not None
         rank = self._dispatch.copy_order.departure_copy_rank(
             self._primary.replica, self._primary.allocation
@@ -230,15 +232,15 @@
         if leaving:
             self._dispatch.flights.hold(self._shadow_allocation.allocation)
             self._dispatch.flights.expect_resume(self._shadow_allocation.allocation, self.home)
-            self._shadow.hurry()
+            self._shadow.refresh_faster()
             if self._leaves_with_primary(self._shadow.target):
                 return False
             # Both replicas may be leaving: a copy that has arrived is better than none.
-            return target_stays or self._shadow.arrived
+            return target_stays or self._shadow.has_memory
         # Discarding a copy during its transfer would gain nothing: it takes its memory until
         # the transfer ends, and the source accepts no other transfer of this generation.
         return target_stays and not (
-            self._shadow.arrived and self._must_evict_shadow(self._shadow_allocation)
+            self._shadow.has_memory and self._must_evict_shadow(self._shadow_allocation)
         )
 
     def _has_restarted(self, place: _ReplicaAllocation) -> bool:
@@ -259,13 +261,13 @@
             return False
         return target_left < home_left + MIN_SHUTDOWN_GAP_S
 
-    def _note_failed_shadow(self, shadow: Shadow) -> None:
+    def _note_failed_shadow(self, shadow: ShadowCopy) -> None:
         """Exclude a target without room; delay the next copy if the source failed."""
-        if shadow.setback is MoveSetback.NO_ROOM:
+        if shadow.move_failure is MoveSetback.NO_ROOM:
             self._targets.avoid(shadow.target)
-        elif shadow.setback is MoveSetback.NOT_RUNNING:
+        elif shadow.move_failure is MoveSetback.NOT_RUNNING:
             self._no_copy_before = self._dispatch.now() + NOT_RUNNING_DELAY_S
-        elif shadow.setback is None:
+        elif shadow.move_failure is None:
             self._no_copy_before = self._dispatch.now() + SOURCE_FAILURE_DELAY_S
 
     def _must_evict_shadow(self, place: _ReplicaAllocation) -> bool:
@@ -289,7 +291,7 @@
         engine = self._request.service.engine
         if engine is None or not engine.moves:
             return False
-        if self._discarded_shadow is not None and self._discarded_shadow.under_way:
+        if self._discarded_shadow is not None and self._discarded_shadow.move_in_progress:
             return False
         if self._backup is not None and self._placing.takes_work(self._backup.replica):
             return False
@@ -315,7 +317,7 @@
         flight.gives_way = not leaving
         flight.stake = self._expected_loss()
         flight.arriving = True
-        self._shadow = Shadow(
+        self._shadow = ShadowCopy(
             self._dispatch.adapter,
             self._request.request_id,
             self.home,
@@ -337,13 +339,13 @@
             target=target.name,
             copy=self._backup.replica.name if self._backup else "",
             home_stays=not leaving,
-            after_event=self._joint.last,
+            after_event=self._joint.last_event_number,
             replicas=self._placing.options.shown(self._request.service, set()),
         )
 
     def _drop_shadow(self) -> None:
         if self._shadow is not None:
-            self._shadow.abandon()
+            self._shadow.discard()
             self._discarded_shadow = self._shadow
         self._shadow = None
         self._free(self._shadow_allocation)
@@ -357,7 +359,7 @@
             prompt_tokens=self._request.prompt_tokens,
             expected_tokens=facts.expected_output_tokens if facts else 0,
             max_tokens=facts.max_output_tokens if facts else 0,
-            last_event=self._joint.last,
+            last_event=self._joint.last_event_number,
             tokens_per_event=engine.tokens_per_event if engine else 0,
         )
 
--- a/reachlink/requests/_outcomes.py
+++ b/reachlink/requests/_outcome_recorder.py
@@ -4,7 +4,7 @@
 
 from reachlink.membership import LeavingSource
 from reachlink.quarantine import BrokenRun, CrashGuard
-from reachlink.requests._attempts import Setback
+from reachlink.requests._attempts import AttemptFailure
 from reachlink.requests._load_notes import ReplicaOutcome
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._parts import RunnerParts
@@ -13,7 +13,7 @@
 from reachlink.upstreams import AnswerHead, Replica
 
 
-class Outcomes:
+class OutcomeRecorder:
     """Notes how requests ended at replicas.
 
     Parameters
@@ -78,7 +78,7 @@
         )
         self._guard.on_broken(run)
 
-    def record_refusal(self, replica: Replica, head: AnswerHead, sent_at: float) -> Setback:
+    def record_refusal(self, replica: Replica, head: AnswerHead, sent_at: float) -> AttemptFailure:
         """Return what it means that a replica did not run a request, and note it.
 
         Parameters
@@ -92,13 +92,13 @@
         """
         if not head.misdirected:
             self._record_refusal(replica, sent_at)
-            return Setback.NOT_RUN
+            return AttemptFailure.NOT_RUN
         # Replicas come back under other names while the list still has those before: one
         # request after the other would be sent to these, and refused.
         if self._parts.directory.mark_gone(replica.name, self._parts.clock()):
             self._log.info("upstream_gone", replica=replica.name)
             self._parts.on_gone(replica.name)
-        return Setback.GONE
+        return AttemptFailure.GONE
 
     def record_leaving(self, replica: Replica, head: AnswerHead, now: float) -> None:
         """Note that a replica says that it leaves, or closes its connections as those do."""
--- a/reachlink/requests/_dispatch.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -7,13 +7,13 @@
 from reachlink.requests._copy_order import CopyOrder
 from reachlink.requests._flights import Flights
 from reachlink.requests._model import CallerRequest
-from reachlink.requests._outcomes import Outcomes
+from reachlink.requests._outcome_recorder import OutcomeRecorder
 from reachlink.requests._parts import RunnerParts
 from reachlink.requests._patience import WAIT_STEP_S, may_wait_for_room
 from reachlink.requests._placing import Placing
 from reachlink.requests._replica_pace import ReplicaPace
+from reachlink.requests._retry_policy import RetryPolicy
 from reachlink.requests._timely_placing import TimelyPlacing
-from reachlink.requests._tries import Tries
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import (
     Continuation,
@@ -29,7 +29,7 @@
 CONTINUATION_PERMIT_WAIT_S = 1.0
 
 
-class Dispatch:
+class RequestDispatcher:
     """Places and sends requests, and knows who keeps account of them.
 
     Parameters
@@ -46,8 +46,8 @@
         self._flights = Flights(parts)
         self._copy_order = CopyOrder(parts)
         self._pace = ReplicaPace(parts)
-        self._tries = Tries(parts, self._placing)
-        self._outcomes = Outcomes(parts, self._placing, self._guard)
+        self._retry_policy = RetryPolicy(parts, self._placing)
+        self._outcome_recorder = OutcomeRecorder(parts, self._placing, self._guard)
         self._log: Any = get_logger()
 
     @property
@@ -71,14 +71,14 @@
         return self._pace
 
     @property
-    def tries(self) -> Tries:
+    def retry_policy(self) -> RetryPolicy:
         """Judges whether to try again."""
-        return self._tries
+        return self._retry_policy
 
     @property
-    def outcomes(self) -> Outcomes:
+    def outcomes(self) -> OutcomeRecorder:
         """Notes how requests ended at replicas."""
-        return self._outcomes
+        return self._outcome_recorder
 
     @property
     def guard(self) -> CrashGuard:
@@ -99,7 +99,7 @@
         """Return the monotonic time in seconds."""
         return self._parts.clock()
 
-    def draw(self) -> float:
+    def random_fraction(self) -> float:
         """Return a random number from 0 to 1."""
         return self._parts.random.random()
 
@@ -141,7 +141,9 @@
 
     def _likely_to_refuse(self, request: CallerRequest, tried: set[str]) -> set[str]:
         """Return the replicas that would likely refuse a request, which could not be repeated."""
-        if self._parts.pacing.refusals.is_empty or self._tries.has_retry_left(request.service):
+        if self._parts.pacing.refusals.is_empty or self._retry_policy.has_retry_left(
+            request.service
+        ):
             return set()
         return self._placing.refusing(request, tried)
 
@@ -193,7 +195,7 @@
             parts.pacing.refusals.note_taken(replica.address, sent_at)
         if answer.head.load is not None:
             self._pace.note_load(replica, answer.head.load, now)
-        self._outcomes.record_leaving(replica, answer.head, now)
+        self._outcome_recorder.record_leaving(replica, answer.head, now)
         return answer
 
     async def _touch(self, replica: Replica) -> None:
--- a/reachlink/requests/_tries.py
+++ b/reachlink/requests/_retry_policy.py
@@ -5,7 +5,7 @@
 from reachlink.delivery import Outcome
 from reachlink.limits import RetryBudget
 from reachlink.pacing import HoldReason
-from reachlink.requests._attempts import BUDGET_EXEMPT, AttemptLog, Setback
+from reachlink.requests._attempts import BUDGET_EXEMPT, AttemptFailure, AttemptLog
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._obstacles import ELSEWHERE_AFTER_S
 from reachlink.requests._parts import RunnerParts
@@ -21,7 +21,7 @@
 RETRY_AFTER_S = 0.1
 
 
-class Tries:
+class RetryPolicy:
     """Judges whether a request may be tried again, within what each service may spend.
 
     Parameters
@@ -48,28 +48,32 @@
         return self._budget(service).has_one
 
     def may_retry(
-        self, request: CallerRequest, replica: Replica, setback: Setback, attempts: AttemptLog
+        self,
+        request: CallerRequest,
+        replica: Replica,
+        failure: AttemptFailure,
+        attempts: AttemptLog,
     ) -> bool:
         """Note an attempt that brought no answer; return whether another may follow.
 
         An attempt that reached no replica takes nothing from the retry budget. One that was
         turned away does: it has cost a replica something.
         """
-        attempts.note(setback)
+        attempts.record_failure(failure)
         self._log.info(
             "attempt_failed",
             request_id=request.request_id,
             route=request.route.name,
             replica=replica.name,
-            reason=setback.value,
+            reason=failure.value,
             sent=attempts.sent,
             held_left_s=round(self._held_left_s(replica), 3),
         )
-        if not attempts.may_go_on():
+        if not attempts.may_try_another_replica():
             return False
-        if setback in BUDGET_EXEMPT or self._budget(request.service).take():
+        if failure in BUDGET_EXEMPT or self._budget(request.service).take():
             return True
-        attempts.reason = f"{setback.value}_no_budget"
+        attempts.reason = f"{failure.value}_no_budget"
         return False
 
     def failure(self, request: CallerRequest, attempts: AttemptLog) -> RequestFailedError:
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -4,10 +4,10 @@
 
 from reachlink.delivery import Outcome
 from reachlink.quarantine import HELD, HeldRequestError
-from reachlink.requests._dispatch import Dispatch
 from reachlink.requests._model import AnswerSink, CallerRequest
 from reachlink.requests._parts import RunnerParts
 from reachlink.requests._placing import Placing
+from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._streams import StreamRunner
 from reachlink.requests._whole import WholeRunner
 from reachlink.requests.exceptions import RequestFailedError, StreamCutError
@@ -25,7 +25,7 @@
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
-        self._dispatch = Dispatch(parts)
+        self._dispatch = RequestDispatcher(parts)
         self._whole = WholeRunner(self._dispatch)
         self._streams = StreamRunner(self._dispatch)
         # Requests under way, each with what ends it at its time.
--- a/reachlink/requests/_shadow.py
+++ b/reachlink/requests/_shadow_copy.py
@@ -23,7 +23,7 @@
 FAST_REFRESH_INTERVAL_S = 0.3
 
 
-class Shadow:
+class ShadowCopy:
     """A copy that follows a generation from some point on.
 
     Parameters
@@ -56,10 +56,10 @@
         self._target = target
         self._log = log
         self._memory: MovedMemory | None = None
-        self._hurried = asyncio.Event()
-        self._abandoned = False
-        self._under_way = False
-        self._setback: MoveSetback | None = None
+        self._refresh_fast = asyncio.Event()
+        self._discarded = False
+        self._move_in_progress = False
+        self._move_failure: MoveSetback | None = None
         self._task = asyncio.create_task(self._run())
 
     @property
@@ -68,17 +68,17 @@
         return self._task.done() and self._memory is None
 
     @property
-    def setback(self) -> MoveSetback | None:
+    def move_failure(self) -> MoveSetback | None:
         """Why an order was turned away; None where none was."""
-        return self._setback
+        return self._move_failure
 
     @property
-    def under_way(self) -> bool:
+    def move_in_progress(self) -> bool:
         """Whether an order is being carried out: the source takes no other one."""
-        return self._under_way
+        return self._move_in_progress
 
     @property
-    def arrived(self) -> bool:
+    def has_memory(self) -> bool:
         """Whether the target has a copy, be it an old one."""
         return self._memory is not None
 
@@ -87,27 +87,27 @@
         """Where the copy is."""
         return self._target
 
-    def hurry(self) -> None:
+    def refresh_faster(self) -> None:
         """Copy more often from now on: the source is about to be lost."""
-        self._hurried.set()
+        self._refresh_fast.set()
 
-    async def take(self) -> MovedMemory | None:
+    async def stop(self) -> MovedMemory | None:
         """Stop copying and return the copy, if there is one."""
         self._task.cancel()
         await asyncio.wait({self._task})
         return self._memory
 
-    def abandon(self) -> None:
+    def discard(self) -> None:
         """Stop copying and free the copy."""
-        self._abandoned = True
-        self._hurried.set()
+        self._discarded = True
+        self._refresh_fast.set()
         self._release_task = asyncio.create_task(self._release())
 
     async def _run(self) -> None:
         try:
             # An order on its way is waited for: the target holds memory from its
             # start, and only its answer names what to free.
-            while not self._abandoned and await self._copy():
+            while not self._discarded and await self._copy():
                 await self._pause()
         except UpstreamError as error:
             self._log.info(
@@ -119,14 +119,14 @@
             )
 
     async def _pause(self) -> None:
-        if self._abandoned:
+        if self._discarded:
             return
-        if self._hurried.is_set():
+        if self._refresh_fast.is_set():
             await asyncio.sleep(FAST_REFRESH_INTERVAL_S)
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(REFRESH_INTERVAL_S):
-                await self._hurried.wait()
+                await self._refresh_fast.wait()
 
     async def _copy(self) -> bool:
         began_at = self._clock()
@@ -134,7 +134,7 @@
         if result is None:
             return True
         if not result.arrived:
-            self._setback = result.setback
+            self._move_failure = result.setback
             self._log.info(
                 "shadow_refused",
                 request_id=self._request_id,
@@ -156,7 +156,7 @@
 
     async def _request_move(self) -> MoveResult | None:
         """Order a move; None where the source is in backoff: it runs on."""
-        self._under_way = True
+        self._move_in_progress = True
         try:
             return await self._adapter.move(self._source, self._request_id, self._target, False)
         except UpstreamHeldBackError as error:
@@ -168,7 +168,7 @@
             )
             return None
         finally:
-            self._under_way = False
+            self._move_in_progress = False
 
     async def _release(self) -> None:
         await asyncio.wait({self._task})
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -9,11 +9,11 @@
 
 from reachlink.quarantine import HELD, HeldRequestError
 from reachlink.requests._answer_body import read_whole
-from reachlink.requests._attempts import Setback, pacing_failure
-from reachlink.requests._dispatch import Dispatch
+from reachlink.requests._attempts import AttemptFailure, pacing_failure
+from reachlink.requests._event_merger import EventMerger
 from reachlink.requests._generation_places import GenerationPlaces
-from reachlink.requests._joint import Joint
 from reachlink.requests._model import AnswerSink, CallerRequest
+from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._stream_times import StreamTimes
 from reachlink.requests.exceptions import StreamCutError
 from reachlink.scheduling import StreamRhythm
@@ -42,39 +42,41 @@
 
     Parameters
     ----------
-    dispatch : Dispatch
+    dispatch : RequestDispatcher
         Places and sends requests.
     """
 
-    def __init__(self, dispatch: Dispatch) -> None:
+    def __init__(self, dispatch: RequestDispatcher) -> None:
         self._dispatch = dispatch
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
         """Carry one request to its end."""
         dispatch = self._dispatch
-        attempts = dispatch.tries.begin(request)
+        attempts = dispatch.retry_policy.begin(request)
         tried: set[str] = set()
         while (replica := await dispatch.place_or_wait(request, tried)) is not None:
             tried.add(replica.name)
-            setback = await _Stream(dispatch, request, sink).start(replica)
-            if setback is None:
+            failure = await _Stream(dispatch, request, sink).start(replica)
+            if failure is None:
                 return
-            if setback is Setback.LIMITED:
+            if failure is AttemptFailure.LIMITED:
                 tried.discard(replica.name)
-            if not dispatch.tries.may_retry(request, replica, setback, attempts):
+            if not dispatch.retry_policy.may_retry(request, replica, failure, attempts):
                 break
-        raise dispatch.tries.failure(request, attempts)
+        raise dispatch.retry_policy.failure(request, attempts)
 
 
 class _Stream:
     """One generation on its way through one replica or several."""
 
-    def __init__(self, dispatch: Dispatch, request: CallerRequest, sink: AnswerSink) -> None:
+    def __init__(
+        self, dispatch: RequestDispatcher, request: CallerRequest, sink: AnswerSink
+    ) -> None:
         self._dispatch = dispatch
         self._request = request
         self._sink = sink
-        self._joint = Joint()
-        self._places = GenerationPlaces(dispatch, request, self._joint)
+        self._merger = EventMerger()
+        self._places = GenerationPlaces(dispatch, request, self._merger)
         self._times = StreamTimes(request.arrived_at)
         self._rhythm = StreamRhythm()
         # Whether its home had prompts to read as the last look at the rhythm ended.
@@ -89,7 +91,7 @@
         # Whether the caller has the head of the answer.
         self._head_sent = False
 
-    async def start(self, replica: Replica) -> Setback | None:
+    async def start(self, replica: Replica) -> AttemptFailure | None:
         """Begin at a replica and follow to the end; return why it did not begin, if so."""
         watch = asyncio.create_task(self._places.watch())
         fingerprint = self._request.relay.fingerprint
@@ -107,24 +109,24 @@
 
     def _has_given_no_event(self) -> bool:
         """Return whether the caller has no event yet."""
-        return self._joint.last < 0
+        return self._merger.last_event_number < 0
 
-    async def _run(self) -> Setback | None:
+    async def _run(self) -> AttemptFailure | None:
         try:
             answer = await self._open(self._places.home, None)
         except UpstreamHeldBackError as error:
             return pacing_failure(error)
         except UpstreamUnreachableError:
-            return Setback.UNREACHABLE
+            return AttemptFailure.UNREACHABLE
         except UpstreamBrokenError:
-            return Setback.BROKEN
+            return AttemptFailure.BROKEN
         try:
             if answer.head.not_run:
                 return self._dispatch.outcomes.record_refusal(
                     self._places.home, answer.head, self._sent_at
                 )
             if answer.head.success and not answer.head.genuine:
-                return Setback.BROKEN
+                return AttemptFailure.BROKEN
             if not answer.head.success:
                 await self._sink.whole(answer.head, await self._read_whole(answer))
                 return None
@@ -169,10 +171,10 @@
             replica=target.name,
             copy=_name(self._places.backup),
             handle=memory.handle,
-            after_event=self._joint.last,
+            after_event=self._merger.last_event_number,
         )
         try:
-            answer = await self._open(target, Continuation(self._joint.last, memory))
+            answer = await self._open(target, Continuation(self._merger.last_event_number, memory))
         except UpstreamError as error:
             self._log_continuation_failed(target, str(error))
             return None
@@ -195,7 +197,7 @@
         splitter = EventSplitter()
         try:
             while data := await self._read(answer):
-                ready = self._joint.take(splitter.feed(data))
+                ready = self._merger.merge(splitter.feed(data))
                 if ready:
                     self._places.note_prompt_read()
                     self._places.note_progress()
@@ -226,7 +228,7 @@
 
     async def _read(self, answer: RelayAnswer) -> bytes:
         """Return the next bytes; a silence that a copy can end is a break."""
-        if self._joint.last < 0 or not self._places.has_copy:
+        if self._merger.last_event_number < 0 or not self._places.has_copy:
             return await answer.read()
         try:
             async with asyncio.timeout(MAX_SILENCE_S):
@@ -239,7 +241,7 @@
 
     async def _open(self, replica: Replica, continuation: Continuation | None) -> RelayAnswer:
         self._sent_at = self._dispatch.now()
-        self._last_event_when_sent = self._joint.last
+        self._last_event_when_sent = self._merger.last_event_number
         try:
             return await self._dispatch.open(
                 self._request, replica, continuation, self._places.backup
@@ -254,14 +256,14 @@
             raise
 
     def _note_broken(self, replica: Replica) -> None:
-        begun = self._joint.last > self._last_event_when_sent
+        begun = self._merger.last_event_number > self._last_event_when_sent
         self._dispatch.outcomes.record_broken(self._request, replica, self._sent_at, begun)
 
     def _note_pause(self) -> None:
         """Log a pause between events that is longer than the route promises."""
         now = self._dispatch.now()
-        pause = self._times.note(self._joint.last, now)
-        event_s = self._rhythm.note(self._joint.last, now)
+        pause = self._times.note(self._merger.last_event_number, now)
+        event_s = self._rhythm.note(self._merger.last_event_number, now)
         if event_s is not None:
             self._note_rhythm(event_s)
         if self._no_event_since_move:
@@ -274,7 +276,7 @@
             "stream_paused",
             request_id=self._request.request_id,
             replica=self._places.home.name,
-            event_number=self._joint.last,
+            event_number=self._merger.last_event_number,
             pause_ms=round(pause * 1000.0),
         )
 
@@ -293,7 +295,7 @@
             "stream_joined",
             request_id=self._request.request_id,
             replica=self._places.home.name,
-            event_number=self._joint.last,
+            event_number=self._merger.last_event_number,
             pause_ms=round(pause_s * 1000.0),
             replicas=self._dispatch.placing.options.shown(self._request.service, set()),
         )
@@ -308,7 +310,7 @@
             workspace=self._request.relay.workspace,
             replica=self._places.home.name,
             prompt_tokens=self._request.prompt_tokens,
-            last_event=self._joint.last,
+            last_event=self._merger.last_event_number,
             first_event_ms=round((times.first_s or 0.0) * 1000.0),
             objective_ms=round(self._request.route.objective_s * 1000.0),
             longest_pause_ms=round(times.longest_pause_s * 1000.0),
@@ -326,7 +328,7 @@
             "stream_broken",
             request_id=self._request.request_id,
             replica=replica.name,
-            last_event=self._joint.last,
+            last_event=self._merger.last_event_number,
             copy=_name(self._places.backup),
             shadow=_name(self._places.shadow),
             reason=reason,
--- a/reachlink/requests/_whole.py
+++ b/reachlink/requests/_whole.py
@@ -4,9 +4,9 @@
 
 from reachlink.limits import HeldKind
 from reachlink.requests._answer_body import read_whole
-from reachlink.requests._attempts import AttemptLog, Setback, pacing_failure
-from reachlink.requests._dispatch import Dispatch
+from reachlink.requests._attempts import AttemptFailure, AttemptLog, pacing_failure
 from reachlink.requests._model import AnswerSink, CallerRequest
+from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.upstreams import (
     AnswerHead,
     Replica,
@@ -27,16 +27,16 @@
 
     Parameters
     ----------
-    dispatch : Dispatch
+    dispatch : RequestDispatcher
         Places and sends them.
     """
 
-    def __init__(self, dispatch: Dispatch) -> None:
+    def __init__(self, dispatch: RequestDispatcher) -> None:
         self._dispatch = dispatch
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
         """Carry one request to its end."""
-        attempts = self._dispatch.tries.begin(request)
+        attempts = self._dispatch.retry_policy.begin(request)
         tried: set[str] = set()
         fallback: tuple[AnswerHead, bytes] | None = None
         while (replica := await self._dispatch.place_or_wait(request, tried)) is not None:
@@ -53,20 +53,20 @@
                 _record_buffered(request, fallback[1])
                 if fallback[0].status < SERVER_ERROR or not request.route.may_repeat:
                     break
-                result = Setback.FAILED
-            if result is Setback.LIMITED:
+                result = AttemptFailure.FAILED
+            if result is AttemptFailure.LIMITED:
                 # Others had the permit: it may get this request a moment later.
                 tried.discard(replica.name)
-            if not self._dispatch.tries.may_retry(request, replica, result, attempts):
+            if not self._dispatch.retry_policy.may_retry(request, replica, result, attempts):
                 break
         if fallback is not None:
             await sink.whole(*fallback)
             return
-        raise self._dispatch.tries.failure(request, attempts)
+        raise self._dispatch.retry_policy.failure(request, attempts)
 
     async def _attempt(
         self, request: CallerRequest, replica: Replica, attempts: AttemptLog, previous_bytes: int
-    ) -> tuple[AnswerHead, bytes] | Setback:
+    ) -> tuple[AnswerHead, bytes] | AttemptFailure:
         """Return the whole answer of one replica, or why there is none.
 
         The failure of one before is kept meanwhile, of so many bytes.
@@ -90,17 +90,17 @@
             return pacing_failure(error)
         except UpstreamUnreachableError:
             self._dispatch.outcomes.record_unreachable(replica)
-            return Setback.UNREACHABLE
+            return AttemptFailure.UNREACHABLE
         except UpstreamBrokenError:
             self._dispatch.outcomes.record_broken(request, replica, sent_at, begun=False)
-            return Setback.BROKEN
+            return AttemptFailure.BROKEN
         except TimeoutError:
             self._dispatch.outcomes.record_no_answer(replica)
             self._dispatch.pace.note_call(request, replica, sent_at)
-            return Setback.SLOW
+            return AttemptFailure.SLOW
         if answer.head.success and not answer.head.genuine:
             self._dispatch.outcomes.record_no_answer(replica)
-            return Setback.BROKEN
+            return AttemptFailure.BROKEN
         if answer.head.status >= SERVER_ERROR:
             self._dispatch.outcomes.record_failed_answer(request, replica)
         else:
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reachlink.requests import RequestFailedError, RetryTerms, StreamCutError
-from reachlink.requests import _dispatch as dispatch
+from reachlink.requests import _request_dispatcher as dispatch
 from reachlink.requests.tests.world import (
     BACKUP_ENGINE,
     BROKEN,
--- a/reachlink/requests/tests/test_choice.py
+++ b/reachlink/requests/tests/test_choice.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from reachlink.requests import AttemptLog, Setback
-from reachlink.requests._joint import Joint
+from reachlink.requests import AttemptFailure, AttemptLog
+from reachlink.requests._event_merger import EventMerger
 from reachlink.scheduling import COPY, COPY_HOME, RESCUE, Option, choose
 from reachlink.upstreams import StreamEvent
 
@@ -92,12 +92,12 @@
 
 def test_one_that_may_have_run_does_not_go_on():
     attempts = AttemptLog(may_repeat=False, max_attempts=5)
-    attempts.note(Setback.UNREACHABLE)
-    attempts.note(Setback.NOT_RUN)
-    assert attempts.may_go_on() and attempts.sent == 1
-    attempts.note(Setback.BROKEN)
-    assert not attempts.may_go_on()
+    attempts.record_failure(AttemptFailure.UNREACHABLE)
+    attempts.record_failure(AttemptFailure.NOT_RUN)
+    assert attempts.may_try_another_replica() and attempts.sent == 1
+    attempts.record_failure(AttemptFailure.BROKEN)
+    assert not attempts.may_try_another_replica()
 
 
 def test_events_without_numbers_pass():
-    assert Joint().take([StreamEvent(-1, b"a"), StreamEvent(-1, b"b")]) == b"ab"
+    assert EventMerger().merge([StreamEvent(-1, b"a"), StreamEvent(-1, b"b")]) == b"ab"
