--- a/reachlink/lengths/tests/test_lengths.py
+++ b/reachlink/lengths/tests/test_lengths.py
@@ -1,4 +1,4 @@
-"""Learned lengths follow finished and unfinished answers."""
+"""Length estimates follow finished and unfinished answers."""
 
 import math
 from random import Random
@@ -26,7 +26,7 @@
 
 
 def test_unfinished_answers_count():
-    """All that has ended is short, but most answers still run."""
+    """Only short answers have ended, but most answers are still running."""
     finished_only, both = LengthEstimator(), LengthEstimator()
     for _ in range(50):
         for lengths in (finished_only, both):
--- a/reachlink/limits/tests/test_drain_rate.py
+++ b/reachlink/limits/tests/test_drain_rate.py
@@ -1,4 +1,4 @@
-"""Expected waits come from busy time only."""
+"""Expected waits are estimated from busy time only."""
 
 from reachlink.limits import DrainRate
 
@@ -8,7 +8,7 @@
 
 
 def test_a_quiet_queue_says_nothing_of_how_fast_it_would_drain():
-    """Found by the first benchmark: idle time counted, and most requests were refused."""
+    """If idle time counted, a rarely used queue would appear slow and most requests be refused."""
     rate = DrainRate()
     for second in range(10):
         rate.on_busy(float(second))
--- a/reachlink/limits/tests/test_held_bytes.py
+++ b/reachlink/limits/tests/test_held_bytes.py
@@ -1,4 +1,4 @@
-"""What is held counts against one budget; nobody takes more than a part, the short goes on."""
+"""The memory budget: total, share of one caller, and priority of short bodies."""
 
 from random import Random
 
@@ -35,7 +35,7 @@
     held = taken(budget, *[LONG] * 4, 2 * MB)
     assert budget.pressed and not budget.admits(SHORT_BYTES + 1)
     held[4].release()
-    # Between the marks: 16 of 24 MB.
+    # Usage is between the watermarks: 16 of 24 MB.
     assert budget.pressed and not budget.admits(SHORT_BYTES + 1)
     held[0].release()
     assert not budget.pressed and budget.admits(LONG)
@@ -75,7 +75,7 @@
 
 def test_what_is_held_anyway_is_counted_and_told_to_be_too_much():
     budget = HeldBytes(LIMIT)
-    # What a connection buffers is there whether there is room or not.
+    # The buffer of a connection is in memory whether there is room or not.
     reader = Holding(budget)
     assert reader.note(HeldKind.ANSWER, 8 * MB)
     assert not reader.note(HeldKind.ANSWER, 9 * MB)
@@ -129,7 +129,7 @@
 
 
 def test_a_body_that_has_come_in_whole_lets_no_other_begin():
-    """What is held is the same: the low mark was not reached meanwhile."""
+    """A complete body stays in memory as a request, so the low watermark is not reached."""
     budget = HeldBytes(10 * MB)
     marks: list[bool] = []
     budget.on_pressed = marks.append
--- a/reachlink/limits/tests/test_limits.py
+++ b/reachlink/limits/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits hold within their stated error; nothing starves; budgets hold."""
+"""Quotas hold within their stated error, queues are fair, and retries stay within their budget."""
 
 from random import Random
 
@@ -38,7 +38,7 @@
                     everyone[key] = everyone.get(key, 0.0) + value
         if books[number].admit("k", limits, everyone, instances, now) is None:
             running += 1
-    # The stated error: the rounding of each instance's share, at least one each.
+    # The stated error: each instance's share is rounded, and is at least one request.
     assert running <= limit + instances
 
 
--- a/reachlink/limits/tests/test_sent_bytes.py
+++ b/reachlink/limits/tests/test_sent_bytes.py
@@ -1,4 +1,4 @@
-"""A replica gets a bounded number of bytes from one instance; short requests go anywhere."""
+"""Request bytes in flight from one instance to a replica are bounded, except for short requests."""
 
 from reachlink.limits import SHORT_BYTES, SentBytes
 
--- a/reachlink/pacing/tests/test_backoffs.py
+++ b/reachlink/pacing/tests/test_backoffs.py
@@ -1,4 +1,4 @@
-"""Backoffs: until when, for which life, and how a replica comes back; no network."""
+"""Backoffs requested by replicas: their end, restarts of the replica, and the ramp; no network."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 
 A, B = "10.0.0.1:1", "10.0.0.2:1"
 BACKOFF_S = 3.0
-# The backoff and what it is drawn out by at the most.
+# Latest end of the backoff, including its random extension.
 ENDED_S = BACKOFF_S + backoffs.SPREAD_S
 
 
@@ -42,7 +42,7 @@
 
 
 def admitted(book: BackoffBook, since: float, ask_s: float) -> list[int]:
-    """Return how many of 100 looks each tenth of a second are admitted."""
+    """Return how many of 100 checks are admitted, for each tenth of a second."""
     return [
         sum(book.admits(A, since + ask_s + tenth / 10) for _ in range(100)) for tenth in range(10)
     ]
@@ -57,7 +57,7 @@
     shares = admitted(book, ENDED_S, 0.01 if answered else backoffs.TRIAL_S)
     assert shares[0] < 30 < 60 < shares[-1]
     assert book.admits(A, ENDED_S + backoffs.TRIAL_S + backoffs.RAMP_S)
-    # Then nothing is left to remember.
+    # The backoff is dropped after the ramp.
     assert book.is_empty
 
 
@@ -75,7 +75,7 @@
 
 
 def test_ends_are_spread(book):
-    """Of hundreds that were asked for the same moment, each by its own draw."""
+    """Hundreds of instances asked to wait until the same moment must not return at once."""
     ends = sorted(_end(Random(seed)) for seed in range(200))
     assert ends[0] >= BACKOFF_S and ends[-1] <= ENDED_S
     assert ends[150] - ends[50] > backoffs.SPREAD_S / 4
@@ -94,7 +94,7 @@
 
 
 def test_a_backoff_that_the_new_life_may_have_asked_for_stays(book):
-    """Starts become known seconds late: the replica may have been asked since."""
+    """Restarts become known seconds late, so the restarted replica may have sent the request."""
     book.ask(A, 60.0, 0.0)
     book.start_again(A, 2.0)
     assert not book.admits(A, 2.0)
--- a/reachlink/pacing/tests/test_book.py
+++ b/reachlink/pacing/tests/test_book.py
@@ -1,4 +1,4 @@
-"""One answer for all that a replica has asked for; no network."""
+"""Backoffs, rate limits and refusals of a replica combined into one decision; no network."""
 
 from random import Random
 
@@ -32,7 +32,7 @@
     held = book.hold([A, B], 0.0)
     assert held.reason is HoldReason.BACKOFF
     assert 3.0 <= held.left_s <= ENDED_S
-    # Out of it, and not used as usual yet.
+    # The backoff is over, but the replica is not at its usual load yet.
     assert book.hold([A, B], ENDED_S).left_s == 0.0
 
 
@@ -41,7 +41,7 @@
     close(book, B, 0.5)
     held = book.hold([A, B], 0.0)
     assert (held.reason, held.left_s) == (HoldReason.LIMIT, 0.5)
-    # One with a limit that has something left is used as usual.
+    # A replica with a limit and a free permit counts as fully available.
     assert book.hold([A, B], 0.6) is None
 
 
@@ -73,11 +73,15 @@
 
 
 def test_it_is_asked_again_however_late_the_next_turn_was_said_to_be(book):
-    """Who hands out changes, and a share with it: 20 s were told by one that had just started."""
+    """The next permit must be requested again before its announced time.
+
+    The owner of the limit may change, and its share with it: an instance that has just started
+    grants a small share only, and may announce a wait of 20 s.
+    """
     close(book, A, 20.0)
     assert not book.admits(A, ASKED_AGAIN_S / 2)
     assert book.admits(A, ASKED_AGAIN_S)
-    # Callers are told what was said last.
+    # Callers are told the wait that was announced last.
     assert book.hold([A], ASKED_AGAIN_S).left_s == 20.0 - ASKED_AGAIN_S
 
 
--- a/reachlink/pacing/tests/test_limit_load.py
+++ b/reachlink/pacing/tests/test_limit_load.py
@@ -1,10 +1,10 @@
-"""What sharing a limit gives, by the load that it is for (`benchmarks/bench_limits.py`).
+"""Simulated load at a replica with a shared rate limit (`benchmarks/bench_limits.py`).
 
-A replica takes 3.3 requests a second from all instances together, and callers want three
-times that, four fifths of them at a third of the instances. Kept to by each instance alone,
-1.8 times what is promised reaches it at 7 instances and 2.3 times at 195; in equal parts 0.67
-and 0.23 of the limit are used; handed out by one instance, 1.0 and 0.98 are used and 0.6 of
-the promise is the most (worst of three seeds each).
+The replica accepts 3.3 requests per second from all instances together. Callers want three times
+that rate, and four fifths of the callers use a third of the instances. If each instance applies
+the limit on its own, 1.8 times the bound arrives with 7 instances and 2.3 times with 195. If the
+limit is divided equally, 0.67 and 0.23 of it are used. If one instance grants the permits, 1.0
+and 0.98 of the limit are used, and at most 0.6 of the bound arrives (worst of three seeds each).
 """
 
 import pytest
@@ -21,7 +21,7 @@
 
 SIZES = (7, 65, 195)
 SEEDS = (0, 1)
-# What of a limit is to be used at the least while callers wait.
+# Smallest share of a limit to be used while callers wait.
 USED = 0.8
 
 
@@ -51,5 +51,8 @@
 
 @pytest.mark.parametrize("instances", SIZES)
 def test_a_turn_costs_some_messages_whatever_the_number_of_instances(instances):
-    """One question and its answer a call: 10 calls a second here, some turned away unasked."""
+    """Each call needs one question and its answer.
+
+    Callers make 10 calls per second here, and some are rejected without a question.
+    """
     assert play(LimitLoad(instances), HandedOut, 0).messages <= 2 * 3.0 * 3.3 * 1.3
--- a/reachlink/pacing/tests/test_limits.py
+++ b/reachlink/pacing/tests/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits that replicas name: which values count, and what ends them; no network."""
+"""Rate limits advertised by replicas: accepted values, and what ends a limit; no network."""
 
 import pytest
 
--- a/reachlink/pacing/tests/test_refusals.py
+++ b/reachlink/pacing/tests/test_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals without a time: how long a replica gets nothing, and what ends that; no network."""
+"""Refusals without a time to wait: the wait that results, and what ends it; no network."""
 
 import pytest
 
@@ -14,7 +14,7 @@
 
 
 def refuse(book: RefusalBook, times: int) -> float:
-    """Refuse a request, and the next as soon as one may be sent; return when that was."""
+    """Reject requests that are sent as soon as possible; return the time of the last refusal."""
     now = 0.0
     for _ in range(times - 1):
         book.note_refused(A, now, now)
@@ -57,7 +57,7 @@
     now += book.left_s(A, now)
     book.note_sent(A, now)
     assert book.left_s(A, now) == pytest.approx(refusals.TRIAL_S)
-    # Where no answer comes, the others follow.
+    # Without an answer, other requests follow.
     assert book.left_s(A, now + refusals.TRIAL_S) == 0.0
 
 
@@ -71,11 +71,12 @@
     now = refuse(book, 5)
     book.note_taken(A, now - 0.5)
     assert book.left_s(A, now) == 0.0
-    # No trial, either; but it may be full again, which a request must be able to bear.
+    # There is no probe after such an answer. The replica still counts as refusing: it may be full
+    # again, and only requests that can be retried should go there.
     book.note_sent(A, now)
     assert book.left_s(A, now) == 0.0
     assert book.refuses(A, now)
-    # Full again, it begins anew.
+    # A further refusal starts again with the shortest wait.
     assert book.note_refused(A, now, now) == refusals.FIRST_S
 
 
--- a/reachlink/pacing/tests/test_sharing.py
+++ b/reachlink/pacing/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Limits that several instances hand out together: the sum, whoever hears whom; no network."""
+"""Permits granted by several instances: their sum, during partitions and restarts; no network."""
 
 from dataclasses import dataclass, field
 from itertools import pairwise
@@ -11,7 +11,7 @@
 from reachlink.pacing import LimitQuestion, LimitSharing, Meter, ranked, side_share
 from reachlink.pacing import _sharing as sharing
 
-# What deployments allow of a limit, as a factor, and requests besides.
+# Load that deployments allow: a factor of the limit, plus a number of requests.
 FACTOR, MORE = 1.5, 5.0
 WINDOW_S = 4.0
 STEP_S = 0.02
@@ -27,7 +27,7 @@
 @settings(derandomize=True)
 @given(st.integers(1, 400), st.floats(0.0, 1.0))
 def test_one_side_and_all_others_alone_keep_to_it_too(known, part):
-    """The side that hands out, and each of the others by its own number."""
+    """One side has an owner, and each other instance grants its own share by number."""
     side = max(1, int(known * part))
     total = side_share(side, known) + (known - side) / known
     assert total <= FACTOR + 1e-9
@@ -46,7 +46,7 @@
 def test_a_meter_hands_out_its_rate_and_turns_in_order():
     meter = Meter(4.0, 10.0)
     assert [meter.take(10.0, patience_s=9.0) for _ in range(4)] == [0.0, 0.25, 0.5, 0.75]
-    # A permit that comes too late for who asks is not taken.
+    # A permit that is free only after the longest wait is not reserved.
     assert meter.take(10.0, patience_s=0.5) == 1.0
     assert meter.take(10.0, patience_s=1.0) == 1.0
 
@@ -62,7 +62,7 @@
     assert meter.take(10.0, background=True) > 0.0
     assert meter.take(10.4, background=True) > 0.0
     assert meter.take(10.5, background=True) == 0.0
-    # It has not taken the next one of those that matter.
+    # The background request has not taken the next permit of a regular request.
     assert meter.take(10.5) == 0.0
 
 
@@ -75,11 +75,11 @@
 
 @dataclass
 class Fleet:
-    """Instances that hear each other but across cuts, at a time of their own."""
+    """Instances on a simulated clock; instances on different sides do not hear each other."""
 
     count: int
     now: float = 1000.0
-    # The side that each is on; those of one side hear each other.
+    # Side of a network partition that each instance is on; default 0.
     side: dict[str, int] = field(default_factory=dict)
     dead: set[str] = field(default_factory=set)
     heard: dict[tuple[str, str], float] = field(default_factory=dict)
@@ -107,7 +107,7 @@
                     self.heard[one, other] = self.now
 
     def ask(self, name, question):
-        """Return when a request of an instance may be sent, as the exchange asks."""
+        """Return the wait for a permit, determined as `LimitExchange` does."""
         for owner in self.made[name].owners(question.replica)[:2]:
             reached = owner == name or self.hears(name, owner)
             if reached and self.made[owner].is_owner(question.replica, self.now):
@@ -115,7 +115,7 @@
         return self.made[name].grant_alone(question, self.now)
 
     def play(self, seconds, per_s, random):
-        """Have every instance want more than it gets, all the time."""
+        """Let every instance request more permits than it gets for a number of seconds."""
         until = self.now + seconds
         while self.now < until:
             self.now = round(self.now + STEP_S, 6)
@@ -155,7 +155,7 @@
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(SIDES, st.sampled_from([0.2, 2.0, 3.3, 10.0]), st.integers(0, 5))
 def test_a_cut_into_whatever_sides_keeps_the_bound(sides, per_s, seed):
-    """From the moment of the cut on, and when it heals."""
+    """The bound holds from the start of the partition until after its end."""
     fleet = settled(7)
     fleet.play(3.0, per_s, Random(seed))
     fleet.side = dict(zip(fleet.names, sides, strict=True))
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("count", [7, 24])
 def test_where_all_start_at_once_none_hands_out_all_of_it(count):
-    """Each may know of nobody else for a moment; here nobody hears anybody for two seconds."""
+    """Instances that start at once may know no others; here they hear nobody for two seconds."""
     fleet = Fleet(count)
     fleet.side = {name: n for n, name in enumerate(fleet.names)}
     fleet.play(sharing.SETTLE_S, 3.3, Random(1))
@@ -222,6 +222,6 @@
     one = LimitSharing("e0", lambda name: float("-inf"), Random(1))
     one.take_roster(["e0"], 1, 0.0)
     one.grant(LimitQuestion("r", 2.0, age_s=0.1), 10.0)
-    # Who has heard of it longer ago, and of more, changes nothing.
+    # Older information with a higher limit must not replace the newer one.
     one.grant(LimitQuestion("r", 200.0, age_s=5.0), 10.0)
     assert one.grant(LimitQuestion("r", 200.0, age_s=5.0), 10.0) > 0.4
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Choices of the placement policy, and health."""
+"""Decisions of the placement policies, and health of replicas."""
 
 from random import Random
 
--- a/reachlink/routing/tests/test_patch.py
+++ b/reachlink/routing/tests/test_patch.py
@@ -1,4 +1,4 @@
-"""Patches make the same document everywhere, and say when they do not fit."""
+"""Patches yield exactly the newer document, or an error if they apply to another one."""
 
 import pytest
 from hypothesis import given, settings
--- a/reachlink/routing/tests/test_reading.py
+++ b/reachlink/routing/tests/test_reading.py
@@ -1,4 +1,4 @@
-"""Tables that are read step by step are the same as those read whole."""
+"""Tables decoded in steps equal tables decoded at once."""
 
 from dataclasses import replace
 
@@ -35,7 +35,7 @@
 
 
 def finish(steps):
-    """Return the result of work in steps, and how many steps it took."""
+    """Return the result of a generator, and its number of steps."""
     count = 0
     while True:
         try:
--- a/reachlink/routing/tests/test_routing.py
+++ b/reachlink/routing/tests/test_routing.py
@@ -1,4 +1,4 @@
-"""Routing tables: look-ups, checks that name the field, formats."""
+"""Routing tables: look-ups, checks that name the invalid field, and formats."""
 
 from dataclasses import replace
 from random import Random
@@ -98,7 +98,7 @@
 
 
 def prioritised(*pairs: tuple[int | None, int]) -> tuple[RoutingIndex, list[int]]:
-    """Return an index of all workspace and route priorities, and the urgency of each pair."""
+    """Return an index with some workspace and route priorities, and the urgency of each pair."""
     routes = {p: replace(route(f"r{p}", f"/{p}/"), priority=p) for _, p in pairs}
     workspaces = {w: Workspace(f"w{w}", (f"k{w}",), w) for w, _ in pairs}
     index = RoutingIndex(
