--- a/reachlink/lengths/tests/test_lengths.py
+++ b/reachlink/lengths/tests/test_lengths.py
@@ -56,21 +56,21 @@
     assert lengths.curve(LengthKey("other")).longer_than(500) > 0.5
 
 
-def test_drift_is_followed():
+def test_estimate_follows_drift():
     lengths = LengthEstimator()
     feed(lengths, KEY, [30] * 1000)
     feed(lengths, KEY, [900] * 400)
     assert lengths.curve(KEY).longer_than(500) > 0.6
 
 
-def test_memory_is_bounded():
+def test_number_of_keys_is_bounded():
     lengths = LengthEstimator(max_keys=50)
     for i in range(500):
         lengths.observe(LengthKey("chat", f"w{i}"), 0, 10, ended=True)
     assert len(lengths) <= 50
 
 
-def test_expected_more_is_the_area_under_the_curve():
+def test_expected_remaining_is_the_area_under_the_curve():
     curve = SurvivalCurve([0.1] * BUCKET_COUNT)
     total = sum(curve.still_running(100, h) for h in range(131_000))
     assert abs(curve.expected_more(100) - total) / total < 0.02
--- a/reachlink/limits/tests/test_drain_rate.py
+++ b/reachlink/limits/tests/test_drain_rate.py
@@ -3,11 +3,11 @@
 from reachlink.limits import DrainRate
 
 
-def test_nothing_is_refused_for_a_wait_that_nobody_measured():
+def test_expected_wait_is_zero_without_observations():
     assert DrainRate().expected_wait_s(50, 0.0) == 0.0
 
 
-def test_a_quiet_queue_says_nothing_of_how_fast_it_would_drain():
+def test_idle_time_does_not_count():
     """If idle time counted, a rarely used queue would appear slow and most requests be refused."""
     rate = DrainRate()
     for second in range(10):
@@ -17,13 +17,13 @@
     assert rate.expected_wait_s(3, 10.0) < 0.1
 
 
-def test_a_stuck_queue_shows_in_the_expected_wait():
+def test_expected_wait_grows_while_the_queue_is_stuck():
     rate = DrainRate()
     rate.on_busy(0.0)
     assert rate.expected_wait_s(1, 5.0) >= 5.0
 
 
-def test_the_wait_grows_with_the_position():
+def test_expected_wait_grows_with_the_position():
     rate = DrainRate()
     for i in range(100):
         rate.on_busy(i * 0.1)
--- a/reachlink/limits/tests/test_held_bytes.py
+++ b/reachlink/limits/tests/test_held_bytes.py
@@ -28,7 +28,7 @@
     assert (budget.total, holding.total) == (0, 0)
 
 
-def test_beyond_the_high_mark_no_long_body_begins_until_the_low_one():
+def test_long_bodies_are_refused_from_the_high_to_the_low_watermark():
     budget = HeldBytes(LIMIT)
     marks: list[bool] = []
     budget.on_pressed = marks.append
@@ -42,7 +42,7 @@
     assert marks == [True, False]
 
 
-def test_short_bodies_go_on_up_to_the_limit():
+def test_short_bodies_are_admitted_up_to_the_limit():
     budget = HeldBytes(LIMIT)
     taken(budget, *[LONG] * 4, 2 * MB)
     assert budget.admits(SHORT_BYTES)
@@ -53,7 +53,7 @@
     assert budget.total == LIMIT and not budget.admits(1)
 
 
-def test_a_body_that_grows_beyond_the_high_mark_ends_there():
+def test_growing_bodies_stop_at_the_high_watermark():
     budget = HeldBytes(LIMIT)
     holdings = [Holding(budget) for _ in range(6)]
     ended = set()
@@ -64,7 +64,7 @@
     assert len(ended) == 6 and budget.total <= int(LIMIT * 0.75)
 
 
-def test_one_caller_takes_a_part_only():
+def test_one_caller_may_use_only_its_share():
     budget = HeldBytes(LIMIT)
     holding = Holding(budget)
     assert holding.take(HeldKind.ANSWER, 8 * MB)
@@ -73,7 +73,7 @@
     assert Holding(budget).take(HeldKind.ANSWER, 8 * MB)
 
 
-def test_what_is_held_anyway_is_counted_and_told_to_be_too_much():
+def test_bytes_already_buffered_are_counted_beyond_the_limit():
     budget = HeldBytes(LIMIT)
     # The buffer of a connection is in memory whether there is room or not.
     reader = Holding(budget)
@@ -95,7 +95,7 @@
     assert not budget.pressed and budget.admits(2 * MB) and budget.admits(SHORT_BYTES)
 
 
-def test_a_body_that_has_come_in_is_the_same_bytes():
+def test_complete_body_is_counted_once():
     budget = HeldBytes(LIMIT)
     (holding,) = taken(budget, LONG)
     holding.turn(HeldKind.INCOMING, HeldKind.REQUEST)
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_whatever_happens_the_sums_agree(seed):
+def test_totals_agree_after_random_operations(seed):
     random = Random(seed)
     budget = HeldBytes(LIMIT)
     holdings = [Holding(budget) for _ in range(12)]
@@ -128,7 +128,7 @@
     assert budget.total == 0 and not budget.pressed
 
 
-def test_a_body_that_has_come_in_whole_lets_no_other_begin():
+def test_completing_a_body_does_not_end_memory_pressure():
     """A complete body stays in memory as a request, so the low watermark is not reached."""
     budget = HeldBytes(10 * MB)
     marks: list[bool] = []
--- a/reachlink/limits/tests/test_limits.py
+++ b/reachlink/limits/tests/test_limits.py
@@ -42,7 +42,7 @@
     assert running <= limit + instances
 
 
-def test_rate_limit_holds_and_tells_when_to_come_back():
+def test_rate_limit_holds_and_returns_the_retry_time():
     book = QuotaBook()
     limits = QuotaLimits(requests_per_s=10.0)
     admitted, now = 0, 0.0
@@ -70,7 +70,7 @@
     assert order.index("small") <= 1
 
 
-def test_weights_share_the_service():
+def test_service_is_shared_by_weight():
     queue: FairQueue[object] = FairQueue()
     for _ in range(60):
         queue.push(make("heavy", weight=3.0))
@@ -79,7 +79,7 @@
     assert 28 <= served.count("heavy") <= 32
 
 
-def test_aging_lets_the_lowest_priority_through():
+def test_aging_prevents_starvation_of_the_lowest_priority():
     queue: FairQueue[object] = FairQueue()
     old = make("old", priority=0, since=0.0)
     queue.push(old)
@@ -90,7 +90,7 @@
 
 @given(st.lists(st.booleans(), max_size=400))
 @settings(derandomize=True)
-def test_retries_stay_a_share_of_first_attempts(operations):
+def test_retries_are_limited_to_a_share_of_first_attempts(operations):
     budget, first, retried = RetryBudget(), 0, 0
     for retry in operations:
         if retry:
--- a/reachlink/limits/tests/test_sent_bytes.py
+++ b/reachlink/limits/tests/test_sent_bytes.py
@@ -6,7 +6,7 @@
 LONG = 3 * MB
 
 
-def test_a_replica_with_enough_gets_no_long_request():
+def test_no_long_request_to_a_replica_at_its_share():
     sent = SentBytes(whole=8 * MB, least=MB)
     sent.add("r1", LONG)
     sent.add("r1", LONG)
@@ -17,7 +17,7 @@
     assert sent.full(LONG, instances=1) == frozenset()
 
 
-def test_one_that_has_nothing_gets_any():
+def test_replica_without_requests_accepts_any_size():
     sent = SentBytes(whole=MB, least=MB)
     assert sent.full(LONG, instances=4) == frozenset()
     sent.add("r1", LONG)
@@ -25,7 +25,7 @@
     assert sent.at("r1") == 0 and sent.full(LONG, instances=4) == frozenset()
 
 
-def test_the_more_instances_the_smaller_the_share_down_to_the_least():
+def test_share_decreases_with_the_number_of_instances_to_a_minimum():
     sent = SentBytes(whole=12 * MB, least=2 * MB)
     sent.add("r1", LONG)
     assert sent.full(LONG, instances=2) == frozenset()
--- a/reachlink/pacing/tests/test_backoffs.py
+++ b/reachlink/pacing/tests/test_backoffs.py
@@ -18,7 +18,7 @@
     return BackoffBook(Random(1))
 
 
-def test_nothing_is_admitted_until_the_backoff_is_over(book):
+def test_no_request_is_admitted_during_a_backoff(book):
     book.ask(A, BACKOFF_S, 10.0)
     assert not any(book.admits(A, 10.0 + at / 10) for at in range(31))
     assert BACKOFF_S <= book.left_s(A, 10.0) <= ENDED_S
@@ -26,7 +26,7 @@
     assert book.admits(B, 10.0)
 
 
-def test_the_latest_end_counts_of_several(book):
+def test_latest_of_several_ends_applies(book):
     book.ask(A, 30.0, 10.0)
     book.ask(A, 1.0, 11.0)
     assert book.left_s(A, 12.0) >= 28.0
@@ -34,7 +34,7 @@
     assert book.left_s(A, 12.0) >= 60.0
 
 
-def test_the_first_request_after_a_backoff_goes_alone(book):
+def test_no_other_request_is_admitted_during_the_probe(book):
     book.ask(A, BACKOFF_S, 0.0)
     assert book.admits(A, ENDED_S)
     book.note_sent(A, ENDED_S)
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("answered", [True, False], ids=["answered", "no answer yet"])
-def test_after_the_trial_it_gets_more_and_more(book, answered):
+def test_admitted_share_increases_after_the_probe(book, answered):
     book.ask(A, BACKOFF_S, 0.0)
     book.note_sent(A, ENDED_S)
     if answered:
@@ -61,20 +61,20 @@
     assert book.is_empty
 
 
-def test_a_trial_that_is_turned_away_is_the_next_backoff(book):
+def test_rejected_probe_starts_another_backoff(book):
     book.ask(A, BACKOFF_S, 0.0)
     book.note_sent(A, ENDED_S)
     book.ask(A, BACKOFF_S, ENDED_S + 0.01)
     assert book.left_s(A, ENDED_S + 0.01) >= BACKOFF_S
 
 
-def test_an_answer_to_what_was_sent_before_ends_no_backoff(book):
+def test_answer_to_an_earlier_request_does_not_end_the_backoff(book):
     book.ask(A, BACKOFF_S, 0.0)
     book.note_answer(A, 0.1)
     assert not book.admits(A, 0.2)
 
 
-def test_ends_are_spread(book):
+def test_ends_of_backoffs_are_spread(book):
     """Hundreds of instances asked to wait until the same moment must not return at once."""
     ends = sorted(_end(Random(seed)) for seed in range(200))
     assert ends[0] >= BACKOFF_S and ends[-1] <= ENDED_S
@@ -87,33 +87,33 @@
     return book.left_s(A, 0.0)
 
 
-def test_a_new_start_ends_the_backoff_of_the_life_before(book):
+def test_restart_ends_an_earlier_backoff(book):
     book.ask(A, 3600.0, 0.0)
     book.start_again(A, backoffs.START_KNOWN_S + 1.0)
     assert book.admits(A, backoffs.START_KNOWN_S + 1.0)
 
 
-def test_a_backoff_that_the_new_life_may_have_asked_for_stays(book):
+def test_restart_keeps_a_recent_backoff(book):
     """Restarts become known seconds late, so the restarted replica may have sent the request."""
     book.ask(A, 60.0, 0.0)
     book.start_again(A, 2.0)
     assert not book.admits(A, 2.0)
 
 
-def test_another_replica_at_the_address_has_asked_for_nothing(book):
+def test_backoff_is_dropped_if_the_address_is_reused(book):
     book.ask(A, 60.0, 0.0)
     book.replace(A)
     assert book.admits(A, 0.0)
 
 
-def test_memory_is_bounded_and_keeps_the_longest(book):
+def test_number_of_backoffs_is_bounded_and_the_longest_are_kept(book):
     for number in range(backoffs.MAX_REMEMBERED + 50):
         book.ask(f"10.0.0.1:{number}", 10.0 + number, 0.0)
     assert book.count(0.0) == backoffs.MAX_REMEMBERED
     assert book.left_s(f"10.0.0.1:{backoffs.MAX_REMEMBERED + 49}", 0.0) > 0.0
 
 
-def test_a_backoff_that_nobody_tried_out_is_forgotten(book):
+def test_expired_backoff_without_a_probe_is_dropped(book):
     book.ask(A, BACKOFF_S, 0.0)
     assert book.admits(A, ENDED_S + backoffs.FORGOTTEN_S)
     assert book.is_empty
--- a/reachlink/pacing/tests/test_book.py
+++ b/reachlink/pacing/tests/test_book.py
@@ -24,7 +24,7 @@
     book.limits.close(address, until, 0.0)
 
 
-def test_all_are_held_up_until_the_first_is_out_of_backoff(book):
+def test_hold_lasts_until_the_first_backoff_ends(book):
     assert book.hold([], 0.0) is None
     book.backoffs.ask(A, 30.0, 0.0)
     assert book.hold([A, B], 0.0) is None
@@ -36,7 +36,7 @@
     assert book.hold([A, B], ENDED_S).left_s == 0.0
 
 
-def test_the_one_that_may_get_something_first_tells_why(book):
+def test_hold_has_the_reason_of_the_first_available_replica(book):
     book.backoffs.ask(A, 30.0, 0.0)
     close(book, B, 0.5)
     held = book.hold([A, B], 0.0)
@@ -45,7 +45,7 @@
     assert book.hold([A, B], 0.6) is None
 
 
-def test_a_replica_gets_nothing_while_any_kind_holds_it_back(book):
+def test_backoff_and_limit_both_block_a_replica(book):
     book.backoffs.ask(A, BACKOFF_S, 0.0)
     assert not book.admits(A, BACKOFF_S)
     close(book, A, 60.0)
@@ -56,7 +56,7 @@
     assert book.admits(B, 0.4)
 
 
-def test_a_turn_may_be_waited_for_and_a_backoff_may_not(book):
+def test_requests_may_wait_for_a_permit_but_not_for_a_backoff(book):
     close(book, A, 0.4)
     assert not book.admits(A, 0.0)
     assert book.admits(A, 0.0, within_s=0.4)
@@ -64,7 +64,7 @@
     assert not book.admits(A, 0.0, within_s=0.4)
 
 
-def test_another_replica_at_an_address_has_asked_for_nothing(book):
+def test_state_is_dropped_if_the_address_is_reused(book):
     close(book, A, 60.0)
     book.backoffs.ask(A, 60.0, 0.0)
     book.replace(A)
@@ -72,7 +72,7 @@
     assert book.is_empty
 
 
-def test_it_is_asked_again_however_late_the_next_turn_was_said_to_be(book):
+def test_permit_is_requested_again_before_its_announced_time(book):
     """The next permit must be requested again before its announced time.
 
     The owner of the limit may change, and its share with it: an instance that has just started
@@ -85,7 +85,7 @@
     assert book.hold([A], ASKED_AGAIN_S).left_s == 20.0 - ASKED_AGAIN_S
 
 
-def test_refusals_hold_back_what_is_placed_and_nothing_else(book):
+def test_refusals_affect_placement_only(book):
     book.refusals.note_refused(A, 0.0, 0.0)
     assert not book.admits(A, 0.01)
     assert book.left_s(A, 0.01) == 0.0
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("end", [lambda b: b.start_again(A, 1.0), lambda b: b.replace(A)])
-def test_another_life_has_refused_nothing(book, end):
+def test_refusals_are_dropped_on_restart_or_address_reuse(book, end):
     book.refusals.note_refused(A, 0.0, 1.0)
     end(book)
     assert book.admits(A, 1.0) and book.is_empty
--- a/reachlink/pacing/tests/test_limit_load.py
+++ b/reachlink/pacing/tests/test_limit_load.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("instances", SIZES)
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("trouble", list(Trouble))
-def test_no_more_than_promised_reaches_the_replica(instances, seed, trouble):
+def test_load_at_the_replica_stays_within_the_bound(instances, seed, trouble):
     load = LimitLoad(instances, trouble=trouble)
     assert play(load, EachAlone, seed).most > 1.0
     assert play(load, HandedOut, seed).most <= 1.0
@@ -37,20 +37,20 @@
 @pytest.mark.parametrize("instances", SIZES)
 @pytest.mark.parametrize("seed", SEEDS)
 @pytest.mark.parametrize("trouble", [Trouble.NONE, Trouble.START_OF_ALL, Trouble.OWNER_LOST])
-def test_the_limit_is_used_where_instances_hear_each_other(instances, seed, trouble):
+def test_limit_is_used_while_instances_are_connected(instances, seed, trouble):
     load = LimitLoad(instances, trouble=trouble)
     assert play(load, EqualParts, seed).used < USED
     assert play(load, HandedOut, seed).used >= USED
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_sides_that_each_hand_out_all_of_it_would_break_the_promise(seed):
+def test_bound_is_exceeded_if_every_side_grants_the_whole_limit(seed):
     load = LimitLoad(7, trouble=Trouble.CUT_IN_TWO)
     assert play(load, HandedOutWhole, seed).most > 1.0
 
 
 @pytest.mark.parametrize("instances", SIZES)
-def test_a_turn_costs_some_messages_whatever_the_number_of_instances(instances):
+def test_messages_per_permit_do_not_depend_on_the_number_of_instances(instances):
     """Each call needs one question and its answer.
 
     Callers make 10 calls per second here, and some are rejected without a question.
--- a/reachlink/pacing/tests/test_limits.py
+++ b/reachlink/pacing/tests/test_limits.py
@@ -12,17 +12,17 @@
     "text, per_s",
     [("3.3", 3.3), (" 7 ", 7.0), ("0", LOWEST_PER_S), ("0.0001", LOWEST_PER_S), ("1e9", None)],
 )
-def test_what_can_be_kept_to_is_kept_to(text, per_s):
+def test_advertised_rates_are_clipped_to_the_enforced_range(text, per_s):
     assert parse_limit(text) == (HIGHEST_PER_S if per_s is None else per_s)
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-inf", "-1", "", "3/s", "three", "1,5"])
-def test_what_is_no_rate_is_said_so(text):
+def test_invalid_rates_are_rejected(text):
     with pytest.raises(ValueError, match=r"\S"):
         parse_limit(text)
 
 
-def test_only_what_was_sent_after_the_limit_was_named_can_end_it():
+def test_only_answers_to_later_requests_end_a_limit():
     book = LimitBook()
     assert book.name(A, 3.3, 10.0)
     assert not book.name(A, 3.3, 11.0)
@@ -32,7 +32,7 @@
     assert book.get(A) is None
 
 
-def test_another_value_replaces_the_one_before():
+def test_new_limit_replaces_the_previous_one():
     book = LimitBook()
     book.name(A, 3.3, 10.0)
     assert book.name(A, 2.7, 11.0)
--- a/reachlink/pacing/tests/test_refusals.py
+++ b/reachlink/pacing/tests/test_refusals.py
@@ -24,20 +24,20 @@
     return now
 
 
-def test_it_gets_nothing_for_a_moment(book):
+def test_first_refusal_causes_a_short_wait(book):
     book.note_refused(A, 0.0, 0.01)
     assert book.left_s(A, 0.01) == refusals.FIRST_S
     assert book.left_s(A, 0.01 + refusals.FIRST_S) == 0.0
     assert book.left_s(B, 0.01) == 0.0
 
 
-def test_one_that_was_full_for_a_moment_gets_all_again(book):
+def test_no_probe_is_needed_after_a_single_refusal(book):
     now = refuse(book, 1) + refusals.FIRST_S
     book.note_sent(A, now)
     assert book.left_s(A, now) == 0.0
 
 
-def test_the_time_grows_while_it_goes_on_refusing_and_is_bounded(book):
+def test_wait_doubles_with_consecutive_refusals_up_to_a_bound(book):
     waits = []
     for times in range(1, 12):
         fresh = RefusalBook()
@@ -46,13 +46,13 @@
     assert waits[-1] == pytest.approx(refusals.LONGEST_S)
 
 
-def test_requests_refused_together_are_one_refusal(book):
+def test_concurrent_refusals_count_as_one(book):
     for number in range(10):
         book.note_refused(A, 0.0, 0.01 + number * 0.001)
     assert book.left_s(A, 0.01) == refusals.FIRST_S
 
 
-def test_while_it_goes_on_refusing_one_goes_first(book):
+def test_probe_is_sent_alone_after_consecutive_refusals(book):
     now = refuse(book, 3)
     now += book.left_s(A, now)
     book.note_sent(A, now)
@@ -61,13 +61,13 @@
     assert book.left_s(A, now + refusals.TRIAL_S) == 0.0
 
 
-def test_the_first_answer_ends_it(book):
+def test_first_later_answer_ends_tracking(book):
     now = refuse(book, 5)
     book.note_taken(A, now + 1.0)
     assert book.is_empty
 
 
-def test_one_that_was_full_has_room_with_its_next_answer(book):
+def test_answer_to_an_earlier_request_ends_the_wait(book):
     now = refuse(book, 5)
     book.note_taken(A, now - 0.5)
     assert book.left_s(A, now) == 0.0
@@ -80,14 +80,14 @@
     assert book.note_refused(A, now, now) == refusals.FIRST_S
 
 
-def test_it_is_forgotten_where_nothing_is_sent_there(book):
+def test_refusals_expire_if_no_request_is_sent(book):
     now = refuse(book, 5)
     assert book.refuses(A, now + refusals.KEPT_S - 0.1)
     assert not book.refuses(A, now + refusals.KEPT_S)
     assert book.is_empty
 
 
-def test_their_number_is_bounded_and_the_oldest_goes(book):
+def test_number_of_replicas_is_bounded_and_the_oldest_is_dropped(book):
     for number in range(refusals.MAX_REMEMBERED + 1):
         book.note_refused(f"{number}:1", 0.0, number * 0.001)
     assert not book.left_s("0:1", 0.0)
--- a/reachlink/pacing/tests/test_sharing.py
+++ b/reachlink/pacing/tests/test_sharing.py
@@ -19,21 +19,21 @@
 
 @settings(derandomize=True)
 @given(st.lists(st.integers(1, 60), min_size=1, max_size=8))
-def test_sides_of_a_cut_hand_out_one_and_a_half_times_the_limit_at_the_most(sides):
+def test_sides_of_a_partition_grant_at_most_one_and_a_half_limits(sides):
     known = sum(sides)
     assert sum(side_share(side, known) for side in sides) <= FACTOR
 
 
 @settings(derandomize=True)
 @given(st.integers(1, 400), st.floats(0.0, 1.0))
-def test_one_side_and_all_others_alone_keep_to_it_too(known, part):
+def test_one_side_and_isolated_instances_stay_within_the_bound(known, part):
     """One side has an owner, and each other instance grants its own share by number."""
     side = max(1, int(known * part))
     total = side_share(side, known) + (known - side) / known
     assert total <= FACTOR + 1e-9
 
 
-def test_an_instance_more_changes_who_hands_out_few_limits():
+def test_additional_instance_changes_the_owner_of_few_limits():
     replicas = [f"r{n}" for n in range(700)]
     names = [f"e{n}" for n in range(10)]
     before = {r: ranked(names, r)[0] for r in replicas}
@@ -43,7 +43,7 @@
     assert len(changed) < 700 / 11 * 2
 
 
-def test_a_meter_hands_out_its_rate_and_turns_in_order():
+def test_permits_are_granted_at_the_rate_and_in_order():
     meter = Meter(4.0, 10.0)
     assert [meter.take(10.0, patience_s=9.0) for _ in range(4)] == [0.0, 0.25, 0.5, 0.75]
     # A permit that is free only after the longest wait is not reserved.
@@ -51,12 +51,12 @@
     assert meter.take(10.0, patience_s=1.0) == 1.0
 
 
-def test_a_meter_saves_up_one():
+def test_one_unused_permit_is_kept():
     meter = Meter(2.0, 0.0)
     assert [meter.take(100.0) for _ in range(3)] == [0.0, 0.0, 0.5]
 
 
-def test_what_is_spare_gives_way():
+def test_background_requests_give_way_to_others():
     meter = Meter(2.0, 0.0)
     assert meter.take(10.0) == 0.0
     assert meter.take(10.0, background=True) > 0.0
@@ -66,7 +66,7 @@
     assert meter.take(10.5) == 0.0
 
 
-def test_another_rate_counts_for_turns_that_are_promised():
+def test_new_rate_applies_to_reserved_permits():
     meter = Meter(0.1, 0.0)
     assert meter.take(0.0) == 0.0
     meter.set_rate(1.0, 0.0)
@@ -142,7 +142,7 @@
 
 @pytest.mark.parametrize("per_s", [0.2, 1.0, 3.3, 20.0])
 @pytest.mark.parametrize("count", [1, 7, 24])
-def test_all_that_want_more_get_the_limit_and_no_more(count, per_s):
+def test_granted_permits_match_the_limit(count, per_s):
     fleet = settled(count)
     fleet.play(20.0, per_s, Random(1))
     assert fleet.most() <= per_s * WINDOW_S + 2
@@ -154,7 +154,7 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(SIDES, st.sampled_from([0.2, 2.0, 3.3, 10.0]), st.integers(0, 5))
-def test_a_cut_into_whatever_sides_keeps_the_bound(sides, per_s, seed):
+def test_bound_holds_during_any_partition(sides, per_s, seed):
     """The bound holds from the start of the partition until after its end."""
     fleet = settled(7)
     fleet.play(3.0, per_s, Random(seed))
@@ -167,7 +167,7 @@
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(st.sets(st.integers(0, 6), max_size=6), st.sampled_from([0.2, 2.0, 3.3, 10.0]))
-def test_instances_that_end_and_start_again_keep_the_bound(ended, per_s):
+def test_bound_holds_while_instances_restart(ended, per_s):
     fleet = settled(7)
     fleet.play(3.0, per_s, Random(1))
     fleet.dead = {fleet.names[n] for n in ended}
@@ -180,7 +180,7 @@
 
 
 @pytest.mark.parametrize("count", [7, 24])
-def test_where_all_start_at_once_none_hands_out_all_of_it(count):
+def test_bound_holds_if_all_instances_start_at_once(count):
     """Instances that start at once may know no others; here they hear nobody for two seconds."""
     fleet = Fleet(count)
     fleet.side = {name: n for n, name in enumerate(fleet.names)}
@@ -191,7 +191,7 @@
     assert fleet.most() <= FACTOR * 3.3 * WINDOW_S + MORE
 
 
-def test_another_takes_over_from_who_is_lost_and_all_of_the_limit_is_used_again():
+def test_another_owner_takes_over_and_the_whole_limit_is_used():
     fleet = settled(7)
     fleet.play(5.0, 3.3, Random(1))
     fleet.dead = {ranked(fleet.names, "r")[0]}
@@ -203,7 +203,7 @@
     assert max(gaps) < 1.0
 
 
-def test_hundreds_that_reach_nobody_send_the_limit_together():
+def test_bound_holds_if_hundreds_of_instances_reach_no_owner():
     random = Random(1)
     fleet = [LimitSharing(f"e{n}", lambda name: float("-inf"), random) for n in range(410)]
     for one in fleet:
@@ -218,7 +218,7 @@
     assert most <= FACTOR * 3.3 * WINDOW_S + MORE
 
 
-def test_what_was_named_last_counts_whoever_asks():
+def test_most_recent_limit_applies_to_all_instances():
     one = LimitSharing("e0", lambda name: float("-inf"), Random(1))
     one.take_roster(["e0"], 1, 0.0)
     one.grant(LimitQuestion("r", 2.0, age_s=0.1), 10.0)
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -43,21 +43,21 @@
     return ForecastPolicy().choose(req or request(), candidates, Random(seed))
 
 
-def test_the_emptier_replica_is_chosen():
+def test_less_loaded_replica_is_chosen():
     decision = choose([candidate("a", 30, step_ms=14), candidate("b", 2, step_ms=9)])
     assert decision.replica == "b"
 
 
-def test_a_full_memory_is_never_chosen_for_its_cache():
+def test_replica_with_full_memory_is_not_chosen_despite_its_cache():
     full = candidate("full", 40, capacity=6000, cached_tokens=100)
     assert choose([full, candidate("empty")]).replica == "empty"
 
 
-def test_no_room_anywhere_waits():
+def test_request_waits_if_no_replica_has_room():
     assert choose([candidate("a", 40, capacity=6000)]).verdict is Verdict.WAIT
 
 
-def test_unknown_load_in_a_fresh_report_counts_and_ages():
+def test_unexplained_load_counts_only_while_the_report_is_fresh():
     reported = {"reported_used_tokens": 16000, "running": 1}
     fresh = Candidate("a", capacity_tokens=16384, max_batch=64, report_age_s=0.0, **reported)
     frozen = Candidate("a", capacity_tokens=16384, max_batch=64, report_age_s=60.0, **reported)
@@ -65,7 +65,7 @@
     assert choose([frozen]).verdict is Verdict.PLACE
 
 
-def test_own_zone_first_and_spill_when_it_pays():
+def test_own_zone_is_preferred_unless_another_costs_less():
     near = candidate("near", 3, step_ms=10, reported_running=3)
     far = candidate("far", 3, local=False, step_ms=10, reported_running=3)
     cost = request(link_cost_ms=50.0)
@@ -83,7 +83,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.lists(st.integers(0, 80), min_size=1, max_size=8), st.integers(0, 10_000))
-def test_work_conserving_and_never_over_the_batch(running, seed):
+def test_idle_replicas_are_used_and_batch_limits_hold(running, seed):
     candidates = [candidate(f"r{i}", n) for i, n in enumerate(running)]
     decision = choose(candidates, seed=seed)
     if 0 in running:
@@ -93,7 +93,7 @@
 
 
 @pytest.mark.parametrize("name", list(POLICIES))
-def test_every_policy_says_when_nothing_is_alive(name):
+def test_every_policy_reports_that_no_replica_is_alive(name):
     decision = POLICIES.get(name)().choose(request(), [], Random(1))
     assert decision.verdict is Verdict.NONE_ALIVE
 
@@ -106,7 +106,7 @@
     assert total.count == 3
 
 
-def test_health_ejects_and_lets_back_in_gradually():
+def test_failing_replica_is_ejected_and_readmitted_gradually():
     health, random = Health(), Random(1)
     health.on_failure(0.0, random)
     assert health.allowance(0.0) == 1.0
@@ -119,7 +119,7 @@
     assert health.state is HealthState.GOOD
 
 
-def test_never_all_replicas_are_taken_out():
+def test_not_all_replicas_are_ejected():
     healths = {f"r{i}": Health() for i in range(4)}
     random = Random(1)
     for health in healths.values():
@@ -128,7 +128,7 @@
     assert all(value > 0 for value in allowances(healths, 0.1).values())
 
 
-def test_requests_that_fail_wherever_they_go_do_not_take_a_replica_out():
+def test_failures_in_answers_need_more_repetitions_to_eject():
     health, random = Health(), Random(1)
     for _ in range(2):
         health.on_failure(0.0, random, answered=True)
@@ -143,7 +143,7 @@
     assert health.allowance(recovering_at) == 0.0
 
 
-def test_two_judges_together_do_not_take_all_replicas_out():
+def test_own_and_reported_ejections_are_bounded_together():
     healths = {name: Health() for name in ("r1", "r2", "r3")}
     for _ in range(2):
         healths["r1"].on_failure(0.0, Random(1))
--- a/reachlink/routing/tests/test_patch.py
+++ b/reachlink/routing/tests/test_patch.py
@@ -26,14 +26,14 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(PARTS, PARTS)
-def test_a_patch_makes_the_document_character_for_character(old, new):
+def test_patch_yields_exactly_the_newer_document(old, new):
     before, after = table(1, "".join(old)), table(2, "".join(new))
     assert apply_patches(before, [patch_between(before, after)]) == after
 
 
 @settings(derandomize=True, max_examples=300)
 @given(PARTS, PARTS, PARTS)
-def test_a_patch_on_another_document_makes_that_same_one_or_is_refused(old, new, other):
+def test_patch_on_another_document_yields_the_newer_one_or_an_error(old, new, other):
     before, after = table(1, "".join(old)), table(2, "".join(new))
     patch = patch_between(before, after)
     try:
@@ -44,32 +44,32 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(st.lists(PARTS, min_size=2, max_size=6))
-def test_a_row_of_patches_makes_the_last_document(documents):
+def test_sequence_of_patches_yields_the_last_document(documents):
     tables = [table(number, "".join(parts)) for number, parts in enumerate(documents)]
     patches = [patch_between(a, b) for a, b in zip(tables, tables[1:], strict=False)]
     assert apply_patches(tables[0], patches) == tables[-1]
 
 
-def test_a_row_of_patches_that_leaves_one_out_is_refused():
+def test_sequence_with_a_missing_patch_is_rejected():
     tables = [many(count, count) for count in range(1, 5)]
     patches = [patch_between(a, b) for a, b in zip(tables, tables[1:], strict=False)]
     with pytest.raises(PatchMismatchError):
         apply_patches(tables[0], [patches[0], patches[2]])
 
 
-def test_a_patch_of_another_number_is_refused():
+def test_patch_for_another_number_is_rejected():
     patch = patch_between(many(3, 1), many(4, 2))
     for held in (None, many(3, 7)):
         with pytest.raises(PatchMismatchError):
             apply_patches(held, [patch])
 
 
-def test_the_size_of_a_patch_is_that_of_the_change_and_not_of_the_table():
+def test_size_of_a_patch_depends_on_the_change_only():
     sizes = {count: patch_between(many(count, 8), many(count, 9)).size for count in (40, 10_000)}
     assert sizes[10_000] <= 1.5 * sizes[40] < 300
 
 
-def test_a_part_that_moves_is_kept():
+def test_moved_parts_are_kept():
     old = table(1, '{"a":1},{"b":2},{"c":3}')
     new = table(2, ',{"c":3},{"b":2}{"a":1}')
     patch = patch_between(old, new)
--- a/reachlink/routing/tests/test_reading.py
+++ b/reachlink/routing/tests/test_reading.py
@@ -56,7 +56,7 @@
 
 @settings(derandomize=True, max_examples=200)
 @given(st.lists(ROUTES, min_size=1, max_size=5))
-def test_a_row_of_tables_reads_as_each_by_itself(tables):
+def test_successive_tables_decode_like_single_tables(tables):
     reader = TableReader()
     for number, routes in enumerate(tables, 1):
         table = published(number, routes)
@@ -66,14 +66,14 @@
 
 @settings(derandomize=True, max_examples=300)
 @given(ROUTES, st.sampled_from(["a", "b", "c"]), st.sampled_from(PATHS))
-def test_the_longest_prefix_of_the_host_is_found(routes, host, path):
+def test_longest_matching_prefix_of_the_host_is_found(routes, host, path):
     index = RoutingIndex(RoutingTable(1, tuple(routes), SERVICES))
     fitting = [r for r in routes if r.host.lower() == host and path.startswith(r.path_prefix)]
     expected = max(fitting, key=lambda r: len(r.path_prefix), default=None)
     assert index.route(host, path) == expected
 
 
-def test_routes_that_stay_are_not_read_again(monkeypatch):
+def test_unchanged_routes_are_not_decoded_again(monkeypatch):
     native = TABLE_FORMATS.get(NATIVE_FORMAT)
     read = []
     first = [route(f"h{i}", "/a/") for i in range(500)]
--- a/reachlink/routing/tests/test_routing.py
+++ b/reachlink/routing/tests/test_routing.py
@@ -37,7 +37,7 @@
 TABLE = RoutingTable(3, (route("short", "/a/"), route("long", "/a/b/")), SERVICES)
 
 
-def test_the_longest_prefix_wins():
+def test_longest_prefix_applies():
     index = RoutingIndex(TABLE)
     found = index.route("a.example", "/a/b/c")
     assert found is not None and found.name == "long"
@@ -46,11 +46,11 @@
 
 
 @pytest.mark.parametrize("host,path", [("b.example", "/a/x"), ("a.example", "/a"), ("", "/a/")])
-def test_no_route(host, path):
+def test_no_matching_route(host, path):
     assert RoutingIndex(TABLE).route(host, path) is None
 
 
-def test_services_are_drawn_by_weight():
+def test_services_are_chosen_by_weight():
     split = route("split", "/s/", Backend("s1", 90.0), Backend("s2", 10.0))
     index = RoutingIndex(RoutingTable(1, (split,), SERVICES))
     random = Random(1)
@@ -58,7 +58,7 @@
     assert 60 < drawn.count("s2") < 140
 
 
-def test_workspaces_hold_keys():
+def test_workspaces_are_found_by_key():
     index = RoutingIndex(replace(TABLE, workspaces=(Workspace("w", ("k1", "k2")),)))
     assert index.needs_keys
     assert index.workspace("k2").name == "w"
@@ -80,18 +80,18 @@
         ),
     ],
 )
-def test_a_wrong_table_names_its_field(table, field):
+def test_invalid_table_names_its_field(table, field):
     with pytest.raises(InvalidTableError) as caught:
         check_table(table)
     assert caught.value.field == field
 
 
-def test_the_native_format_reads_back():
+def test_native_format_round_trip():
     document = msgspec.json.encode(TABLE).decode()
     assert PublishedTable(3, NATIVE_FORMAT, document).decode() == TABLE
 
 
-def test_a_document_that_is_cut_short_is_refused():
+def test_truncated_document_is_rejected():
     document = msgspec.json.encode(TABLE).decode()[:-20]
     with pytest.raises(InvalidTableError):
         PublishedTable(3, NATIVE_FORMAT, document).decode()
@@ -107,12 +107,12 @@
     return index, [index.urgency(workspaces[w], routes[r]) for w, r in pairs]
 
 
-def test_the_workspace_decides_how_urgent_a_request_is_and_then_the_route():
+def test_urgency_follows_the_workspace_and_then_the_route():
     _, found = prioritised((0, 0), (0, 1), (1, 0), (1, 1))
     assert found == sorted(found) and len(set(found)) == 4 and found[0] == 0
 
 
-def test_without_a_workspace_priority_the_route_decides():
+def test_urgency_follows_the_route_without_a_workspace_priority():
     index, (first, second, _) = prioritised((None, 0), (None, 1), (0, 1))
     assert first < second
     assert index.urgency(None, index.table.routes[0]) == first
