--- a/benchmarks/bench_backoffs.py
+++ b/benchmarks/bench_backoffs.py
@@ -12,7 +12,7 @@
 from random import Random
 
 from benchmarks._environment import describe
-from reachlink.pacing import BackoffBook
+from reachlink.pacing import BackoffTracker
 from reachlink.testing._backoff_load import (
     BackoffFigures,
     BackoffLoad,
@@ -31,17 +31,17 @@
     "65 instances, 28 of 28": BackoffLoad(65, 28, 28),
     "195 instances, 28 of 84": BackoffLoad(195, 84, 28),
 }
-WAYS: dict[str, tuple[Callable[[Random], BackoffBook], bool]] = {
+WAYS: dict[str, tuple[Callable[[Random], BackoffTracker], bool]] = {
     "forgotten": (ForgetBackoffs, False),
     "exact end": (ExactBackoffs, False),
     "spread end": (SpreadBackoffs, False),
     "trial, ramp": (TrialBackoffs, False),
-    "spread, trial, ramp": (BackoffBook, False),
-    "the same, told on to all": (BackoffBook, True),
+    "spread, trial, ramp": (BackoffTracker, False),
+    "the same, told on to all": (BackoffTracker, True),
 }
 
 
-def worst(load: BackoffLoad, way: Callable[[Random], BackoffBook], seeds: int) -> BackoffFigures:
+def worst(load: BackoffLoad, way: Callable[[Random], BackoffTracker], seeds: int) -> BackoffFigures:
     """Return the largest of each figure over some seeds."""
     plays = [asdict(play(load, way, seed)) for seed in range(seeds)]
     return BackoffFigures(**{name: max(p[name] for p in plays) for name in plays[0]})
--- a/reachlink/coordination/_attachment.py
+++ b/reachlink/coordination/_attachment.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Set
 
 from reachlink.membership import InstanceRecord
-from reachlink.pacing import ranked
+from reachlink.pacing import rendezvous_order
 
 # How long a coordinator that did not answer is left aside, in seconds: half of
 # what the roster takes to drop one that is gone.
@@ -93,7 +93,7 @@
         self, coordinators: Iterable[InstanceRecord], service: str, now: float
     ) -> list[InstanceRecord]:
         records = {record.name: record for record in coordinators}
-        found = [records[name] for name in ranked(records, service)]
+        found = [records[name] for name in rendezvous_order(records, service)]
         return sorted(found, key=lambda c: self._avoided_until.get(c.name, 0.0) > now)
 
     def mark_silent(self, coordinator: str, now: float) -> None:
--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -9,15 +9,15 @@
 from reachlink.messaging import Bus, MessagingError, decode, encode
 from reachlink.pacing import (
     CHANNEL_LIMIT,
-    SILENT_S,
-    LimitAnswer,
-    LimitBook,
+    PEER_SILENCE_TIMEOUT_S,
+    AdvertisedLimit,
     LimitGate,
-    LimitNote,
-    LimitQuestion,
     LimitSharing,
-    NamedLimit,
-    PermitRequest,
+    LimitTracker,
+    LimitUpdate,
+    PermitOptions,
+    PermitQuery,
+    PermitReply,
 )
 from reachlink.telemetry import get_logger
 
@@ -42,7 +42,7 @@
         This instance.
     bus : Bus
         Speaks with the others.
-    book : LimitBook
+    book : LimitTracker
         What this instance knows of limits.
     directory : ReplicaDirectory
         Names and addresses of replicas.
@@ -60,7 +60,7 @@
         self,
         name: str,
         bus: Bus,
-        book: LimitBook,
+        book: LimitTracker,
         directory: ReplicaDirectory,
         heard_at: Callable[[str], float],
         random: Random,
@@ -87,9 +87,9 @@
         self._avoided_until.clear()
         self._sharing.take_roster(self._addresses, instances, self._clock())
 
-    async def acquire(self, address: str, limit: NamedLimit, asked: PermitRequest) -> float:
+    async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
         """Return when one more request may be sent; see `LimitGate`."""
-        question = LimitQuestion(
+        question = PermitQuery(
             self._directory.name_at(address) or address,
             limit.per_s,
             self._clock() - limit.named_at,
@@ -104,7 +104,7 @@
         self._count("granted" if wait_s <= asked.patience_s else "refused")
         return wait_s
 
-    def notes(self) -> list[LimitNote]:
+    def notes(self) -> list[LimitUpdate]:
         """Return what others should know of limits."""
         now = self._clock()
         said: dict[str, tuple[float | None, float]] = {
@@ -113,12 +113,12 @@
         for address, limit in self._book.all().items():
             said[address] = (limit.per_s, limit.named_at)
         return [
-            LimitNote(name, per_s, round(now - at, 3))
+            LimitUpdate(name, per_s, round(now - at, 3))
             for address, (per_s, at) in said.items()
             if now - at < MAX_NOTE_AGE_S and (name := self._directory.name_at(address))
         ]
 
-    def take(self, notes: Iterable[LimitNote]) -> None:
+    def take(self, notes: Iterable[LimitUpdate]) -> None:
         """Take what another instance tells of limits."""
         now = self._clock()
         for note in notes:
@@ -135,18 +135,18 @@
                     "limit_told", replica=note.replica, per_s=note.per_s, age_s=note.age_s
                 )
 
-    async def _ask_owners(self, question: LimitQuestion) -> float | None:
+    async def _ask_owners(self, question: PermitQuery) -> float | None:
         """Return what the limit's owner says; None where nobody does that is reached."""
         for name in self._sharing.owners(question.replica)[:MAX_ASKED]:
             if name == self._name:
-                answer: LimitAnswer | None = self._answer(question)
+                answer: PermitReply | None = self._answer(question)
             else:
                 answer = await self._ask(name, question)
             if answer is not None and answer.decided:
                 return answer.wait_s
         return None
 
-    async def _ask(self, name: str, question: LimitQuestion) -> LimitAnswer | None:
+    async def _ask(self, name: str, question: PermitQuery) -> PermitReply | None:
         now = self._clock()
         if self._avoided_until.get(name, now) > now:
             return None
@@ -154,7 +154,7 @@
             raw = await self._bus.call(
                 self._addresses[name], CHANNEL_LIMIT, encode(question), ANSWER_TIMEOUT_S
             )
-            return decode(raw, LimitAnswer)
+            return decode(raw, PermitReply)
         except MessagingError as error:
             self._avoided_until[name] = self._clock() + RETRY_AFTER_SILENCE_S
             self._log.info(
@@ -163,14 +163,14 @@
             return None
 
     async def _on_question(self, sender: str, body: bytes) -> bytes:
-        return encode(self._answer(decode(body, LimitQuestion)))
+        return encode(self._answer(decode(body, PermitQuery)))
 
-    def _answer(self, question: LimitQuestion) -> LimitAnswer:
+    def _answer(self, question: PermitQuery) -> PermitReply:
         now = self._clock()
         if not self._sharing.is_owner(question.replica, now):
-            return LimitAnswer(decided=False)
+            return PermitReply(decided=False)
         self._log_share_change(self._sharing.share(now))
-        return LimitAnswer(decided=True, wait_s=self._sharing.grant(question, now))
+        return PermitReply(decided=True, wait_s=self._sharing.grant(question, now))
 
     def _log_share_change(self, share: float) -> None:
         if share != self._last_share:
@@ -185,4 +185,4 @@
     """
     if wait_s <= patience_s:
         return wait_s
-    return min(wait_s, patience_s + SILENT_S)
+    return min(wait_s, patience_s + PEER_SILENCE_TIMEOUT_S)
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from reachlink.pacing import LimitNote
+from reachlink.pacing import LimitUpdate
 from reachlink.quarantine import QuarantineNote
 from reachlink.requests import ListedReplica, LoadNote, ReplicaNews, ReplicaOutcome, ReplicaShare
 from reachlink.scheduling import PaceNote
@@ -91,7 +91,7 @@
         How long replicas are still cold, in seconds, of those that are.
     quarantine : QuarantineNote
         What the coordinator learned of crashes lately.
-    limits : list of LimitNote
+    limits : list of LimitUpdate
         What replicas take from all instances together, of those that have said so.
     paces : list of PaceNote
         How fast replicas work, where that is news to the member.
@@ -108,5 +108,5 @@
     allowances: dict[str, float] = {}
     cold: dict[str, float] = {}
     quarantine: QuarantineNote = QuarantineNote()
-    limits: list[LimitNote] = []
+    limits: list[LimitUpdate] = []
     paces: list[PaceNote] = []
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -6,12 +6,12 @@
 
 from reachlink.coordination import _limit_exchange as exchange
 from reachlink.coordination.tests.world import Instance, Network
-from reachlink.pacing import PermitRequest, ranked
+from reachlink.pacing import PermitOptions, rendezvous_order
 from reachlink.pacing import _sharing as sharing
 
 REPLICA, ADDRESS = "r1", "r1:1"
 PER_S = 2.0
-NOW = PermitRequest()
+NOW = PermitOptions()
 
 
 @pytest.fixture
@@ -38,18 +38,18 @@
 
 def in_rank(fleet: list[Instance]) -> list[Instance]:
     """Return who hands out the replica's limit, and who takes over from whom."""
-    order = ranked([one.record.name for one in fleet], REPLICA)
+    order = rendezvous_order([one.record.name for one in fleet], REPLICA)
     return sorted(fleet, key=lambda one: order.index(one.record.name))
 
 
-def ask(one: Instance, asked: PermitRequest = NOW) -> float:
+def ask(one: Instance, asked: PermitOptions = NOW) -> float:
     limit = one.pacing.limits.get(ADDRESS)
     assert limit is not None
     return asyncio.run(one.limits.acquire(ADDRESS, limit, asked))
 
 
 def test_all_ask_the_same_instance_and_get_the_limit_together(fleet):
-    waits = [ask(one, PermitRequest(patience_s=9.0)) for one in fleet * 2]
+    waits = [ask(one, PermitOptions(patience_s=9.0)) for one in fleet * 2]
     assert waits == pytest.approx([0.0, 0.5, 1.0, 1.5, 2.0, 2.5])
     asked = {address for address, channel in fleet[0].network.calls}
     assert asked == {in_rank(fleet)[0].record.name}
@@ -69,9 +69,9 @@
         network.now += 0.1
         sent += ask(third) <= 0.0
     assert sent <= 1.5 * PER_S / 3 + 1
-    network.now += sharing.SILENT_S
+    network.now += sharing.PEER_SILENCE_TIMEOUT_S
     hear(fleet)
-    waits = [ask(one, PermitRequest(patience_s=9.0)) for one in (second, third, second)]
+    waits = [ask(one, PermitOptions(patience_s=9.0)) for one in (second, third, second)]
     assert waits == pytest.approx([0.0, 0.5, 1.0])
 
 
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -16,7 +16,7 @@
 )
 from reachlink.membership import InstanceRecord, ListedInstance, ReplicaDirectory
 from reachlink.messaging import CallTimeoutError, Handler
-from reachlink.pacing import PacingBook
+from reachlink.pacing import PacingTracker
 from reachlink.quarantine import Quarantine
 from reachlink.requests import (
     Flight,
@@ -117,7 +117,7 @@
             Random(1),
             self.clock,
         )
-        self.pacing = PacingBook(Random(1))
+        self.pacing = PacingTracker(Random(1))
         self.limits = LimitExchange(
             name,
             bus,  # type: ignore[arg-type]
--- a/reachlink/entry/_daemon.py
+++ b/reachlink/entry/_daemon.py
@@ -27,7 +27,7 @@
 from reachlink.kernel import json_response, steady_time, watch_suspensions
 from reachlink.membership import PLATFORMS, LeavingSource, PlatformUnavailableError
 from reachlink.messaging import decode, encode
-from reachlink.pacing import LimitNote
+from reachlink.pacing import LimitUpdate
 from reachlink.quarantine import QuarantineNote
 from reachlink.upstreams import EngineAdapter, LoadReport, Replica, UpstreamError
 
@@ -180,7 +180,7 @@
         self._node.crash_news.take(decode(body, QuarantineNote))
 
     async def _on_limits(self, sender: str, body: bytes) -> None:
-        self._node.limits.take(decode(body, list[LimitNote]))
+        self._node.limits.take(decode(body, list[LimitUpdate]))
 
     async def _on_digest(self, sender: str, body: bytes) -> None:
         digest = decode(body, Digest)
--- a/reachlink/entry/_digests.py
+++ b/reachlink/entry/_digests.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from reachlink.pacing import LimitNote
+from reachlink.pacing import LimitUpdate
 from reachlink.placement import MemoryProfile
 from reachlink.quarantine import QuarantineNote
 
@@ -49,7 +49,7 @@
     loads: list[ReplicaLoad]
     demands: dict[str, float]
     quarantine: QuarantineNote = QuarantineNote()
-    limits: list[LimitNote] = []
+    limits: list[LimitUpdate] = []
 
 
 class PlacementNote(msgspec.Struct, array_like=True, frozen=True):
--- a/reachlink/entry/_node.py
+++ b/reachlink/entry/_node.py
@@ -25,7 +25,7 @@
 from reachlink.entry._ledger import Ledger
 from reachlink.kernel import steady_time
 from reachlink.lengths import LengthEstimator
-from reachlink.limits import HeldBytes, QuotaBook, RetryBudget
+from reachlink.limits import HeldBytes, QuotaTracker, RetryBudget
 from reachlink.membership import InstanceRecord, ReplicaDirectory
 from reachlink.messaging import Bus, encode
 from reachlink.pacing import Hold
@@ -71,7 +71,7 @@
         self.lengths = LengthEstimator()
         self.ledger = Ledger(self.lengths)
         self.digests = DigestBook(config.availability_zone)
-        self.quotas = QuotaBook()
+        self.quotas = QuotaTracker()
         self.carried = CarriedBook(config.name)
         self.wards = Wards()
         self.positions = PositionCodec(config.cluster_secret.encode())
--- a/reachlink/limits/__init__.py
+++ b/reachlink/limits/__init__.py
@@ -3,7 +3,7 @@
 from reachlink.limits._drain_rate import DrainRate
 from reachlink.limits._fair_queue import FairQueue, Waiting
 from reachlink.limits._held_bytes import SHORT_BYTES, UNTOLD_BYTES, HeldBytes, HeldKind, Holding
-from reachlink.limits._quotas import QuotaBook, QuotaLimits, Refusal, RefusalReason, fair_share
+from reachlink.limits._quotas import QuotaLimits, QuotaTracker, Refusal, RefusalReason, fair_share
 from reachlink.limits._retries import RetryBudget, backoff_s
 from reachlink.limits._sent_bytes import SentBytes
 
@@ -15,7 +15,7 @@
     "HeldBytes",
     "HeldKind",
     "Holding",
-    "QuotaBook",
+    "QuotaTracker",
     "QuotaLimits",
     "Refusal",
     "RefusalReason",
--- a/reachlink/limits/_quotas.py
+++ b/reachlink/limits/_quotas.py
@@ -82,7 +82,7 @@
     return floor + (1.0 - FLOOR_SHARE) * own / total
 
 
-class QuotaBook:
+class QuotaTracker:
     """Usage by all limited workspaces in one entry instance."""
 
     def __init__(self) -> None:
--- a/reachlink/limits/tests/test_limits.py
+++ b/reachlink/limits/tests/test_limits.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reachlink.limits import FairQueue, QuotaBook, QuotaLimits, RetryBudget, Waiting, fair_share
+from reachlink.limits import FairQueue, QuotaLimits, QuotaTracker, RetryBudget, Waiting, fair_share
 from reachlink.limits._fair_queue import AGING_S_PER_LEVEL
 
 
@@ -25,7 +25,7 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_concurrent_limit_holds_over_instances(limit, arrivals, instances):
-    books = [QuotaBook() for _ in range(instances)]
+    books = [QuotaTracker() for _ in range(instances)]
     limits = QuotaLimits(concurrent=limit)
     running, now = 0, 0.0
     for target in arrivals:
@@ -43,7 +43,7 @@
 
 
 def test_rate_limit_holds_and_returns_the_retry_time():
-    book = QuotaBook()
+    book = QuotaTracker()
     limits = QuotaLimits(requests_per_s=10.0)
     admitted, now = 0, 0.0
     for _ in range(2000):
--- a/reachlink/membership/_directory.py
+++ b/reachlink/membership/_directory.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from reachlink.membership._platform import InstanceState, ListedInstance
-from reachlink.pacing import PacingBook
+from reachlink.pacing import PacingTracker
 from reachlink.upstreams import Replica
 
 # How long a mark as leaving counts that no list confirms, in seconds: after that it
@@ -93,7 +93,7 @@
         Addresses to use in place of listed ones.
     unconfirmed_mark_s : float
         How long a mark that no list confirms counts, in seconds.
-    pacing : PacingBook, optional
+    pacing : PacingTracker, optional
         What the instances ask of who sends to them; is told of those that start again.
     """
 
@@ -101,9 +101,9 @@
         self,
         routes: Mapping[str, str] | None = None,
         unconfirmed_mark_s: float = UNCONFIRMED_MARK_S,
-        pacing: PacingBook | None = None,
+        pacing: PacingTracker | None = None,
     ) -> None:
-        self._pacing = PacingBook(Random()) if pacing is None else pacing
+        self._pacing = PacingTracker(Random()) if pacing is None else pacing
         self._unconfirmed_mark_s = unconfirmed_mark_s
         self._routes = dict(routes or {})
         self._entries: dict[str, _Entry] = {}
--- a/reachlink/membership/tests/test_membership.py
+++ b/reachlink/membership/tests/test_membership.py
@@ -15,7 +15,7 @@
     SettingsAnswer,
     SettingsHolder,
 )
-from reachlink.pacing import PacingBook
+from reachlink.pacing import PacingTracker
 from reachlink.settings import Change
 
 
@@ -75,7 +75,7 @@
 
 
 def test_backoffs_end_with_the_address_and_the_life_that_asked():
-    pacing = PacingBook(Random(1))
+    pacing = PacingTracker(Random(1))
     backoffs = pacing.backoffs
     directory = ReplicaDirectory(pacing=pacing)
     directory.update(born(InstanceState.LIVE, 1000), 0.0)
--- a/reachlink/pacing/__init__.py
+++ b/reachlink/pacing/__init__.py
@@ -1,34 +1,39 @@
 """Flow control that replicas request from their senders: backoffs and rate limits."""
 
-from reachlink.pacing._backoffs import BackoffBook
-from reachlink.pacing._book import Hold, HoldReason, PacingBook, PacingKind
-from reachlink.pacing._gate import LimitGate, LocalGate, PermitRequest
-from reachlink.pacing._limits import LimitBook, NamedLimit, parse_limit
-from reachlink.pacing._messages import CHANNEL_LIMIT, LimitAnswer, LimitNote, LimitQuestion
-from reachlink.pacing._meter import Meter
-from reachlink.pacing._refusals import RefusalBook
-from reachlink.pacing._sharing import SILENT_S, LimitSharing, ranked, side_share
+from reachlink.pacing._backoffs import BackoffTracker
+from reachlink.pacing._book import Hold, HoldReason, PacingKind, PacingTracker
+from reachlink.pacing._gate import LimitGate, LocalGate, PermitOptions
+from reachlink.pacing._limits import AdvertisedLimit, LimitTracker, parse_limit
+from reachlink.pacing._messages import CHANNEL_LIMIT, LimitUpdate, PermitQuery, PermitReply
+from reachlink.pacing._meter import RateLimiter
+from reachlink.pacing._refusals import RefusalTracker
+from reachlink.pacing._sharing import (
+    PEER_SILENCE_TIMEOUT_S,
+    LimitSharing,
+    partition_share,
+    rendezvous_order,
+)
 
 __all__ = [
     "CHANNEL_LIMIT",
-    "SILENT_S",
-    "BackoffBook",
+    "PEER_SILENCE_TIMEOUT_S",
+    "BackoffTracker",
     "Hold",
     "HoldReason",
-    "LimitAnswer",
-    "LimitBook",
+    "PermitReply",
+    "LimitTracker",
     "LimitGate",
-    "LimitNote",
-    "LimitQuestion",
+    "LimitUpdate",
+    "PermitQuery",
     "LimitSharing",
     "LocalGate",
-    "Meter",
-    "NamedLimit",
-    "PacingBook",
+    "RateLimiter",
+    "AdvertisedLimit",
+    "PacingTracker",
     "PacingKind",
-    "PermitRequest",
-    "RefusalBook",
-    "ranked",
+    "PermitOptions",
+    "RefusalTracker",
+    "rendezvous_order",
     "parse_limit",
-    "side_share",
+    "partition_share",
 ]
--- a/reachlink/pacing/_backoffs.py
+++ b/reachlink/pacing/_backoffs.py
@@ -72,7 +72,7 @@
         return now >= self.tried_at + TRIAL_S + RAMP_S
 
 
-class BackoffBook:
+class BackoffTracker:
     """Backoffs that replicas requested from this instance, by replica address.
 
     Parameters
--- a/reachlink/pacing/_book.py
+++ b/reachlink/pacing/_book.py
@@ -6,9 +6,9 @@
 from random import Random
 from typing import Protocol
 
-from reachlink.pacing._backoffs import BackoffBook
-from reachlink.pacing._limits import LimitBook
-from reachlink.pacing._refusals import RefusalBook
+from reachlink.pacing._backoffs import BackoffTracker
+from reachlink.pacing._limits import LimitTracker
+from reachlink.pacing._refusals import RefusalTracker
 
 
 class HoldReason(Enum):
@@ -68,7 +68,7 @@
         """Drop the state of an address that now belongs to another replica."""
 
 
-class PacingBook:
+class PacingTracker:
     """Flow control of every kind that replicas requested from this instance.
 
     Code that chooses a replica or sends to one consults only this class, so that a new
@@ -81,18 +81,18 @@
 
     Attributes
     ----------
-    backoffs : BackoffBook
+    backoffs : BackoffTracker
         Replicas that want no requests for some time.
-    limits : LimitBook
+    limits : LimitTracker
         Replicas that accept a limited rate of requests from all instances together.
-    refusals : RefusalBook
+    refusals : RefusalTracker
         Replicas that reject requests without naming a time; used for placement only.
     """
 
     def __init__(self, random: Random) -> None:
-        self.backoffs = BackoffBook(random)
-        self.limits = LimitBook()
-        self.refusals = RefusalBook()
+        self.backoffs = BackoffTracker(random)
+        self.limits = LimitTracker()
+        self.refusals = RefusalTracker()
         self._kinds: tuple[PacingKind, ...] = (self.backoffs, self.limits)
 
     @property
--- a/reachlink/pacing/_gate.py
+++ b/reachlink/pacing/_gate.py
@@ -4,12 +4,12 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from reachlink.pacing._limits import NamedLimit
-from reachlink.pacing._meter import Meter
+from reachlink.pacing._limits import AdvertisedLimit
+from reachlink.pacing._meter import RateLimiter
 
 
 @dataclass(slots=True, frozen=True)
-class PermitRequest:
+class PermitOptions:
     """Options of a request for a permit.
 
     Attributes
@@ -27,16 +27,16 @@
 class LimitGate(Protocol):
     """Grants permits for requests to replicas with a rate limit."""
 
-    async def acquire(self, address: str, limit: NamedLimit, asked: PermitRequest) -> float:
+    async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
         """Return the time in seconds until one more request may be sent.
 
         Parameters
         ----------
         address : str
             Address of the replica.
-        limit : NamedLimit
+        limit : AdvertisedLimit
             Rate limit that the replica advertised.
-        asked : PermitRequest
+        asked : PermitOptions
             Options of the request.
 
         Returns
@@ -58,11 +58,11 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._meters: dict[str, Meter] = {}
+        self._meters: dict[str, RateLimiter] = {}
 
-    async def acquire(self, address: str, limit: NamedLimit, asked: PermitRequest) -> float:
+    async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
         """Return the time in seconds until one more request may be sent."""
         now = self._clock()
-        meter = self._meters.setdefault(address, Meter(limit.per_s, now))
+        meter = self._meters.setdefault(address, RateLimiter(limit.per_s, now))
         meter.set_rate(limit.per_s, now)
         return meter.take(now, asked.patience_s, asked.background)
--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class NamedLimit:
+class AdvertisedLimit:
     """Rate limit that one replica advertised.
 
     Attributes
@@ -63,11 +63,11 @@
     asked_again_at: float = float("-inf")
 
 
-class LimitBook:
+class LimitTracker:
     """Rate limits advertised by replicas, by replica address."""
 
     def __init__(self) -> None:
-        self._limits: dict[str, NamedLimit] = {}
+        self._limits: dict[str, AdvertisedLimit] = {}
         # Monotonic times in seconds at which limits ended, by address. Older reports from other
         # instances are ignored.
         self._ended: dict[str, float] = {}
@@ -98,7 +98,7 @@
             return False
         if before is None:
             self._make_room(named_at)
-            self._limits[address] = NamedLimit(per_s, named_at)
+            self._limits[address] = AdvertisedLimit(per_s, named_at)
             return True
         news = before.per_s != per_s
         before.per_s, before.named_at = per_s, named_at
@@ -131,11 +131,11 @@
         """Return the monotonic times in seconds at which recent limits ended, by address."""
         return self._ended
 
-    def get(self, address: str) -> NamedLimit | None:
+    def get(self, address: str) -> AdvertisedLimit | None:
         """Return the limit of a replica; None if it has none."""
         return self._limits.get(address)
 
-    def all(self) -> dict[str, NamedLimit]:
+    def all(self) -> dict[str, AdvertisedLimit]:
         """Return all limits by address."""
         return self._limits
 
--- a/reachlink/pacing/_messages.py
+++ b/reachlink/pacing/_messages.py
@@ -8,10 +8,10 @@
 import msgspec
 
 CHANNEL_LIMIT = "limit"
-"""Channel of calls with a `LimitQuestion`; the reply is a `LimitAnswer`."""
+"""Channel of calls with a `PermitQuery`; the reply is a `PermitReply`."""
 
 
-class LimitQuestion(msgspec.Struct, array_like=True, frozen=True):
+class PermitQuery(msgspec.Struct, array_like=True, frozen=True):
     """Asks the owner of a limit for a permit to send one request to the replica.
 
     Attributes
@@ -36,8 +36,8 @@
     background: bool = False
 
 
-class LimitAnswer(msgspec.Struct, array_like=True, frozen=True):
-    """Reply to a `LimitQuestion`.
+class PermitReply(msgspec.Struct, array_like=True, frozen=True):
+    """Reply to a `PermitQuery`.
 
     Attributes
     ----------
@@ -52,7 +52,7 @@
     wait_s: float = 0.0
 
 
-class LimitNote(msgspec.Struct, array_like=True, frozen=True):
+class LimitUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Reports a limit that a replica advertised, or its end.
 
     Attributes
--- a/reachlink/pacing/_meter.py
+++ b/reachlink/pacing/_meter.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Meter:
+class RateLimiter:
     """Rate limiter for one replica.
 
     Attributes
--- a/reachlink/pacing/_refusals.py
+++ b/reachlink/pacing/_refusals.py
@@ -52,7 +52,7 @@
         return max(0.0, free_at - now)
 
 
-class RefusalBook:
+class RefusalTracker:
     """Replicas that rejected this instance's last request, by replica address."""
 
     def __init__(self) -> None:
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -15,14 +15,14 @@
 from random import Random
 from typing import TypeVar
 
-from reachlink.pacing._messages import LimitQuestion
-from reachlink.pacing._meter import Meter
+from reachlink.pacing._messages import PermitQuery
+from reachlink.pacing._meter import RateLimiter
 
 _Key = TypeVar("_Key")
 
 # Time in seconds after which an instance that was not heard from is not counted as reachable; each
 # instance sends something at least once a second.
-SILENT_S = 2.0
+PEER_SILENCE_TIMEOUT_S = 2.0
 # Time in seconds for which instances that left the roster are still counted in the total. During a
 # network partition the roster shrinks to this side after 30 s, while the instances on the other
 # side still send.
@@ -35,7 +35,7 @@
 MAX_METERS = 2000
 
 
-def side_share(heard: int, known: int) -> float:
+def partition_share(heard: int, known: int) -> float:
     """Return the share of a limit that one side of a partition grants.
 
     Parameters
@@ -47,13 +47,13 @@
 
     Examples
     --------
-    >>> side_share(7, 7), side_share(4, 7), side_share(1, 4), side_share(2, 4)
+    >>> partition_share(7, 7), partition_share(4, 7), partition_share(1, 4), partition_share(2, 4)
     (1.0, 1.0, 0.25, 0.5)
     """
     return 1.0 if 2 * heard > known else heard / known
 
 
-def ranked(names: Iterable[str], owned: str) -> list[str]:
+def rendezvous_order(names: Iterable[str], owned: str) -> list[str]:
     """Return the possible owners of a resource in order of precedence.
 
     Uses rendezvous hashing: one instance more or less changes the owner of few resources.
@@ -96,8 +96,8 @@
         # Numbers of instances, with the monotonic time at which each number was last current.
         self._counts: dict[int, float] = {}
         self._since: float | None = None
-        self._owned: dict[str, Meter] = {}
-        self._alone: dict[str, Meter] = {}
+        self._owned: dict[str, RateLimiter] = {}
+        self._alone: dict[str, RateLimiter] = {}
         # Time of each replica's most recent limit and the limit in requests per second, for the
         # limits that this instance grants.
         self._named: dict[str, tuple[float, float]] = {}
@@ -120,7 +120,7 @@
         if found is None:
             if len(self._ranked) >= MAX_METERS:
                 self._ranked.clear()
-            found = self._ranked[replica] = ranked(self._owners, replica)
+            found = self._ranked[replica] = rendezvous_order(self._owners, replica)
         return found
 
     def is_owner(self, replica: str, now: float) -> bool:
@@ -140,22 +140,25 @@
         if self._since is None or now - self._since < SETTLE_S:
             return UNSETTLED_SHARE
         heard = sum(name == self._name or self._hears(name, now) for name in self._known)
-        return side_share(heard, len(self._known))
+        return partition_share(heard, len(self._known))
 
-    def grant(self, question: LimitQuestion, now: float) -> float:
-        """Return the wait in seconds for a permit as the owner of the limit; see `Meter.take`."""
+    def grant(self, question: PermitQuery, now: float) -> float:
+        """Return the wait in seconds for a permit, as owner of the limit.
+
+        See `RateLimiter.take`.
+        """
         per_s = self._newest(question, now) * self.share(now)
         meter = self._owned.get(question.replica)
         if meter is None:
             _make_room(self._owned)
-            meter = self._owned[question.replica] = Meter(per_s, now)
+            meter = self._owned[question.replica] = RateLimiter(per_s, now)
         meter.set_rate(per_s, now)
         return meter.take(now, question.patience_s, question.background)
 
-    def grant_alone(self, question: LimitQuestion, now: float) -> float:
+    def grant_alone(self, question: PermitQuery, now: float) -> float:
         """Return the wait in seconds for a permit for a request of this instance without an owner.
 
-        Used while this instance reaches no owner of the limit; see `Meter.take`.
+        Used while this instance reaches no owner of the limit; see `RateLimiter.take`.
         """
         per_s = question.per_s / max(1, len(self._known), *self._counts)
         meter = self._alone.get(question.replica)
@@ -164,11 +167,11 @@
             # If hundreds of instances lose the owner at the same moment, they must not all start
             # with a permit at once.
             first_s = self._random.random() / per_s
-            meter = self._alone[question.replica] = Meter(per_s, now + first_s)
+            meter = self._alone[question.replica] = RateLimiter(per_s, now + first_s)
         meter.set_rate(per_s, now)
         return meter.take(now, question.patience_s, question.background)
 
-    def _newest(self, question: LimitQuestion, now: float) -> float:
+    def _newest(self, question: PermitQuery, now: float) -> float:
         """Return the replica's most recent limit among those that any question reported."""
         named_at, per_s = self._named.get(question.replica, (float("-inf"), 0.0))
         if now - question.age_s >= named_at:
@@ -179,13 +182,13 @@
         return per_s
 
     def _hears(self, name: str, now: float) -> bool:
-        return now - self._heard_at(name) <= SILENT_S
+        return now - self._heard_at(name) <= PEER_SILENCE_TIMEOUT_S
 
 
 def _recent(seen: dict[_Key, float], now: float) -> dict[_Key, float]:
     return {key: at for key, at in seen.items() if now - at <= KNOWN_KEPT_S}
 
 
-def _make_room(meters: dict[str, Meter]) -> None:
+def _make_room(meters: dict[str, RateLimiter]) -> None:
     if len(meters) >= MAX_METERS:
         del meters[min(meters, key=lambda replica: meters[replica].free_at)]
--- a/reachlink/pacing/tests/test_backoffs.py
+++ b/reachlink/pacing/tests/test_backoffs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.pacing import BackoffBook
+from reachlink.pacing import BackoffTracker
 from reachlink.pacing import _backoffs as backoffs
 
 A, B = "10.0.0.1:1", "10.0.0.2:1"
@@ -14,8 +14,8 @@
 
 
 @pytest.fixture
-def book() -> BackoffBook:
-    return BackoffBook(Random(1))
+def book() -> BackoffTracker:
+    return BackoffTracker(Random(1))
 
 
 def test_no_request_is_admitted_during_a_backoff(book):
@@ -41,7 +41,7 @@
     assert not any(book.admits(A, ENDED_S + backoffs.TRIAL_S * n / 10) for n in range(10))
 
 
-def admitted(book: BackoffBook, since: float, ask_s: float) -> list[int]:
+def admitted(book: BackoffTracker, since: float, ask_s: float) -> list[int]:
     """Return how many of 100 checks are admitted, for each tenth of a second."""
     return [
         sum(book.admits(A, since + ask_s + tenth / 10) for _ in range(100)) for tenth in range(10)
@@ -82,7 +82,7 @@
 
 
 def _end(random: Random) -> float:
-    book = BackoffBook(random)
+    book = BackoffTracker(random)
     book.ask(A, BACKOFF_S, 0.0)
     return book.left_s(A, 0.0)
 
--- a/reachlink/pacing/tests/test_book.py
+++ b/reachlink/pacing/tests/test_book.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.pacing import HoldReason, PacingBook
+from reachlink.pacing import HoldReason, PacingTracker
 from reachlink.pacing import _backoffs as backoffs
 from reachlink.pacing import _refusals as refusals
 from reachlink.pacing._limits import ASKED_AGAIN_S
@@ -15,11 +15,11 @@
 
 
 @pytest.fixture
-def book() -> PacingBook:
-    return PacingBook(Random(1))
+def book() -> PacingTracker:
+    return PacingTracker(Random(1))
 
 
-def close(book: PacingBook, address: str, until: float) -> None:
+def close(book: PacingTracker, address: str, until: float) -> None:
     book.limits.name(address, 3.3, 0.0)
     book.limits.close(address, until, 0.0)
 
--- a/reachlink/pacing/tests/test_limits.py
+++ b/reachlink/pacing/tests/test_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from reachlink.pacing import LimitBook, parse_limit
+from reachlink.pacing import LimitTracker, parse_limit
 from reachlink.pacing._limits import HIGHEST_PER_S, LOWEST_PER_S
 
 A = "10.0.0.1:1"
@@ -23,7 +23,7 @@
 
 
 def test_only_answers_to_later_requests_end_a_limit():
-    book = LimitBook()
+    book = LimitTracker()
     assert book.name(A, 3.3, 10.0)
     assert not book.name(A, 3.3, 11.0)
     assert not book.end(A, sent_at=10.5, now=11.2)
@@ -33,7 +33,7 @@
 
 
 def test_new_limit_replaces_the_previous_one():
-    book = LimitBook()
+    book = LimitTracker()
     book.name(A, 3.3, 10.0)
     assert book.name(A, 2.7, 11.0)
     assert book.get(A).per_s == 2.7
--- a/reachlink/pacing/tests/test_refusals.py
+++ b/reachlink/pacing/tests/test_refusals.py
@@ -2,18 +2,18 @@
 
 import pytest
 
-from reachlink.pacing import RefusalBook
+from reachlink.pacing import RefusalTracker
 from reachlink.pacing import _refusals as refusals
 
 A, B = "10.0.0.1:1", "10.0.0.2:1"
 
 
 @pytest.fixture
-def book() -> RefusalBook:
-    return RefusalBook()
+def book() -> RefusalTracker:
+    return RefusalTracker()
 
 
-def refuse(book: RefusalBook, times: int) -> float:
+def refuse(book: RefusalTracker, times: int) -> float:
     """Reject requests that are sent as soon as possible; return the time of the last refusal."""
     now = 0.0
     for _ in range(times - 1):
@@ -40,7 +40,7 @@
 def test_wait_doubles_with_consecutive_refusals_up_to_a_bound(book):
     waits = []
     for times in range(1, 12):
-        fresh = RefusalBook()
+        fresh = RefusalTracker()
         waits.append(fresh.left_s(A, refuse(fresh, times)))
     assert waits[:3] == pytest.approx([refusals.FIRST_S * 2**n for n in range(3)])
     assert waits[-1] == pytest.approx(refusals.LONGEST_S)
--- a/reachlink/pacing/tests/test_sharing.py
+++ b/reachlink/pacing/tests/test_sharing.py
@@ -8,7 +8,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reachlink.pacing import LimitQuestion, LimitSharing, Meter, ranked, side_share
+from reachlink.pacing import (
+    LimitSharing,
+    PermitQuery,
+    RateLimiter,
+    partition_share,
+    rendezvous_order,
+)
 from reachlink.pacing import _sharing as sharing
 
 # Load that deployments allow: a factor of the limit, plus a number of requests.
@@ -21,7 +27,7 @@
 @given(st.lists(st.integers(1, 60), min_size=1, max_size=8))
 def test_sides_of_a_partition_grant_at_most_one_and_a_half_limits(sides):
     known = sum(sides)
-    assert sum(side_share(side, known) for side in sides) <= FACTOR
+    assert sum(partition_share(side, known) for side in sides) <= FACTOR
 
 
 @settings(derandomize=True)
@@ -29,22 +35,22 @@
 def test_one_side_and_isolated_instances_stay_within_the_bound(known, part):
     """One side has an owner, and each other instance grants its own share by number."""
     side = max(1, int(known * part))
-    total = side_share(side, known) + (known - side) / known
+    total = partition_share(side, known) + (known - side) / known
     assert total <= FACTOR + 1e-9
 
 
 def test_additional_instance_changes_the_owner_of_few_limits():
     replicas = [f"r{n}" for n in range(700)]
     names = [f"e{n}" for n in range(10)]
-    before = {r: ranked(names, r)[0] for r in replicas}
-    after = {r: ranked([*names, "e10"], r)[0] for r in replicas}
+    before = {r: rendezvous_order(names, r)[0] for r in replicas}
+    after = {r: rendezvous_order([*names, "e10"], r)[0] for r in replicas}
     changed = [r for r in replicas if before[r] != after[r]]
     assert {after[r] for r in changed} == {"e10"}
     assert len(changed) < 700 / 11 * 2
 
 
 def test_permits_are_granted_at_the_rate_and_in_order():
-    meter = Meter(4.0, 10.0)
+    meter = RateLimiter(4.0, 10.0)
     assert [meter.take(10.0, patience_s=9.0) for _ in range(4)] == [0.0, 0.25, 0.5, 0.75]
     # A permit that is free only after the longest wait is not reserved.
     assert meter.take(10.0, patience_s=0.5) == 1.0
@@ -52,12 +58,12 @@
 
 
 def test_one_unused_permit_is_kept():
-    meter = Meter(2.0, 0.0)
+    meter = RateLimiter(2.0, 0.0)
     assert [meter.take(100.0) for _ in range(3)] == [0.0, 0.0, 0.5]
 
 
 def test_background_requests_give_way_to_others():
-    meter = Meter(2.0, 0.0)
+    meter = RateLimiter(2.0, 0.0)
     assert meter.take(10.0) == 0.0
     assert meter.take(10.0, background=True) > 0.0
     assert meter.take(10.4, background=True) > 0.0
@@ -67,7 +73,7 @@
 
 
 def test_new_rate_applies_to_reserved_permits():
-    meter = Meter(0.1, 0.0)
+    meter = RateLimiter(0.1, 0.0)
     assert meter.take(0.0) == 0.0
     meter.set_rate(1.0, 0.0)
     assert meter.take(0.0, patience_s=5.0) == pytest.approx(1.0)
@@ -124,7 +130,7 @@
             names = [name for name in self.names if name not in self.dead]
             random.shuffle(names)
             for name in names:
-                if self.ask(name, LimitQuestion("r", per_s, 0.0)) <= 0.0:
+                if self.ask(name, PermitQuery("r", per_s, 0.0)) <= 0.0:
                     self.sent.append(self.now)
 
     def most(self, since=0.0):
@@ -194,8 +200,8 @@
 def test_another_owner_takes_over_and_the_whole_limit_is_used():
     fleet = settled(7)
     fleet.play(5.0, 3.3, Random(1))
-    fleet.dead = {ranked(fleet.names, "r")[0]}
-    fleet.play(sharing.SILENT_S + 1.0, 3.3, Random(1))
+    fleet.dead = {rendezvous_order(fleet.names, "r")[0]}
+    fleet.play(sharing.PEER_SILENCE_TIMEOUT_S + 1.0, 3.3, Random(1))
     since = fleet.now
     fleet.play(10.0, 3.3, Random(1))
     assert sum(at > since for at in fleet.sent) >= 0.9 * 33
@@ -212,7 +218,7 @@
     for step in range(800):
         now = 10.0 + step * STEP_S
         for one in fleet:
-            if one.grant_alone(LimitQuestion("r", 3.3, 0.0), now) <= 0.0:
+            if one.grant_alone(PermitQuery("r", 3.3, 0.0), now) <= 0.0:
                 sent.append(now)
     most = max(sum(a <= b < a + WINDOW_S for b in sent) for a in sent)
     assert most <= FACTOR * 3.3 * WINDOW_S + MORE
@@ -221,7 +227,7 @@
 def test_most_recent_limit_applies_to_all_instances():
     one = LimitSharing("e0", lambda name: float("-inf"), Random(1))
     one.take_roster(["e0"], 1, 0.0)
-    one.grant(LimitQuestion("r", 2.0, age_s=0.1), 10.0)
+    one.grant(PermitQuery("r", 2.0, age_s=0.1), 10.0)
     # Older information with a higher limit must not replace the newer one.
-    one.grant(LimitQuestion("r", 200.0, age_s=5.0), 10.0)
-    assert one.grant(LimitQuestion("r", 200.0, age_s=5.0), 10.0) > 0.4
+    one.grant(PermitQuery("r", 200.0, age_s=5.0), 10.0)
+    assert one.grant(PermitQuery("r", 200.0, age_s=5.0), 10.0) > 0.4
--- a/reachlink/requests/_load_notes.py
+++ b/reachlink/requests/_load_notes.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from reachlink.pacing import LimitNote
+from reachlink.pacing import LimitUpdate
 from reachlink.quarantine import QuarantineNote
 from reachlink.scheduling import PaceNote
 
@@ -181,7 +181,7 @@
         Recent changes that it found in the platform's list.
     quarantine : QuarantineNote
         Recent information on crashes.
-    limits : list of LimitNote
+    limits : list of LimitUpdate
         Rate limits that replicas announced for all instances together.
     paces : list of PaceNote
         Pace of replicas, as far as it is new to the receiver.
@@ -192,7 +192,7 @@
     news: list[ReplicaNews] = []
     listed: list[ListedReplica] = []
     quarantine: QuarantineNote = QuarantineNote()
-    limits: list[LimitNote] = []
+    limits: list[LimitUpdate] = []
     paces: list[PaceNote] = []
 
 
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -7,7 +7,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.membership import LeavingSource
-from reachlink.pacing import PacingBook
+from reachlink.pacing import PacingTracker
 from reachlink.quarantine import Quarantine
 from reachlink.requests._book import ReplicaBook
 from reachlink.requests._cold_rates import Deciders
@@ -126,7 +126,7 @@
         Returns the instances that choose replicas.
     quarantine : Quarantine
         What all instances know of crashes.
-    pacing : PacingBook
+    pacing : PacingTracker
         What the replicas ask of who sends to them; `adapter` keeps to it, too.
     admit : callable
         Waits for a request's permit at a replica with a limit, by its address, for as many
@@ -153,6 +153,6 @@
     ask_coordinator: AskCoordinator = decide_here
     deciders: Callable[[], Deciders] = lambda: Deciders("", ("",))
     quarantine: Quarantine = field(default_factory=lambda: Quarantine(Random()))
-    pacing: PacingBook = field(default_factory=lambda: PacingBook(Random()))
+    pacing: PacingTracker = field(default_factory=lambda: PacingTracker(Random()))
     admit: Callable[[str, float], Awaitable[None]] = admit_immediately
     scheduling: SchedulingSettings = SchedulingSettings()
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -7,7 +7,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.membership import InstanceState, ListedInstance, ReplicaDirectory
-from reachlink.pacing import PacingBook
+from reachlink.pacing import PacingTracker
 from reachlink.quarantine import Quarantine
 from reachlink.requests import (
     CallerRequest,
@@ -225,7 +225,7 @@
         self.shared = SharedLoad()
         self.departures = Departures()
         self.quarantine = Quarantine(Random(1))
-        self.pacing = PacingBook(Random(1))
+        self.pacing = PacingTracker(Random(1))
         self.backoffs = self.pacing.backoffs
         parts = RunnerParts(
             "a",
--- a/reachlink/testing/_backoff_load.py
+++ b/reachlink/testing/_backoff_load.py
@@ -12,7 +12,7 @@
 from functools import partial
 from random import Random
 
-from reachlink.pacing import BackoffBook
+from reachlink.pacing import BackoffTracker
 
 LENGTH_S = 12.0
 # When some replicas begin to turn all calls away, and for how long, in seconds.
@@ -38,14 +38,14 @@
 WINDOW_S = 0.1
 
 
-class ForgetBackoffs(BackoffBook):
+class ForgetBackoffs(BackoffTracker):
     """Remembers nothing: the next call is sent as if no backoff had been asked for."""
 
     def ask(self, address: str, wait_s: float, now: float) -> None:
         """Drop what a replica asks for."""
 
 
-class ExactBackoffs(BackoffBook):
+class ExactBackoffs(BackoffTracker):
     """Keeps to the moment and no longer: all who waited come back at once."""
 
     def __init__(self, random: Random) -> None:
@@ -61,7 +61,7 @@
         return now >= self._until.get(address, 0.0)
 
 
-class TrialBackoffs(BackoffBook):
+class TrialBackoffs(BackoffTracker):
     """One first and then more and more, from the exact end on."""
 
     def ask(self, address: str, wait_s: float, now: float) -> None:
@@ -70,7 +70,7 @@
         self._backoffs[address].until = min(self._backoffs[address].until, now + wait_s)
 
 
-class SpreadBackoffs(BackoffBook):
+class SpreadBackoffs(BackoffTracker):
     """Draws the backoff out by chance, and then sends as usual."""
 
     def admits(self, address: str, now: float) -> bool:
@@ -146,7 +146,9 @@
 class _Play:
     """One play of a load."""
 
-    def __init__(self, load: BackoffLoad, way: Callable[[Random], BackoffBook], seed: int) -> None:
+    def __init__(
+        self, load: BackoffLoad, way: Callable[[Random], BackoffTracker], seed: int
+    ) -> None:
         self._load = load
         self._random = Random(seed)
         self._books = [way(Random(seed * 1000 + n)) for n in range(load.instances)]
@@ -260,6 +262,6 @@
         return round(most, 2)
 
 
-def play(load: BackoffLoad, way: Callable[[Random], BackoffBook], seed: int) -> BackoffFigures:
+def play(load: BackoffLoad, way: Callable[[Random], BackoffTracker], seed: int) -> BackoffFigures:
     """Play a load once and return what came of it."""
     return _Play(load, way, seed).run()
--- a/reachlink/testing/_limit_load.py
+++ b/reachlink/testing/_limit_load.py
@@ -12,7 +12,7 @@
 from enum import Enum
 from random import Random
 
-from reachlink.pacing import LimitQuestion, LimitSharing, Meter
+from reachlink.pacing import LimitSharing, PermitQuery, RateLimiter
 
 STEP_S = 0.01
 # Before anything happens, and how long each play is measured after it, in seconds.
@@ -138,7 +138,7 @@
     def start(self) -> None:
         """Begin with a meter each."""
         world = self.world
-        self._meters = {n: Meter(world.load.per_s, world.now) for n in world.names}
+        self._meters = {n: RateLimiter(world.load.per_s, world.now) for n in world.names}
 
     def wait_s(self, instance: str) -> float:
         """Return when the instance's own meter has a permit."""
@@ -156,7 +156,8 @@
         world = self.world
         part = world.load.per_s / world.load.instances
         self._meters = {
-            name: Meter(part, world.now + world.random.random() / part) for name in world.names
+            name: RateLimiter(part, world.now + world.random.random() / part)
+            for name in world.names
         }
 
     def wait_s(self, instance: str) -> float:
@@ -215,7 +216,7 @@
     def wait_s(self, instance: str) -> float:
         """Return when who grants has a permit, as `LimitExchange` asks."""
         world = self.world
-        question = LimitQuestion("r", world.load.per_s, 0.0, PATIENCE_S)
+        question = PermitQuery("r", world.load.per_s, 0.0, PATIENCE_S)
         sharing = self._sharing[instance]
         for owner in sharing.owners("r")[:2]:
             world.messages += 2 * (owner != instance)
@@ -266,7 +267,8 @@
         world = self.world
         part = world.load.per_s / 3.0 / world.load.instances
         self._parts = {
-            name: Meter(part, world.now + world.random.random() / part) for name in world.names
+            name: RateLimiter(part, world.now + world.random.random() / part)
+            for name in world.names
         }
 
     def wait_s(self, instance: str) -> float:
--- a/reachlink/upstreams/_connections.py
+++ b/reachlink/upstreams/_connections.py
@@ -11,7 +11,7 @@
 from yarl import URL
 
 from reachlink.kernel import steady_time
-from reachlink.pacing import BackoffBook
+from reachlink.pacing import BackoffTracker
 from reachlink.upstreams.exceptions import UpstreamBackoffError
 
 # A replica that announces no idle time is taken to close connections after
@@ -75,13 +75,13 @@
 
     Parameters
     ----------
-    backoffs : BackoffBook
+    backoffs : BackoffTracker
         The replicas that have asked for a backoff.
     **options : object
         Passed to `aiohttp.TCPConnector`.
     """
 
-    def __init__(self, backoffs: BackoffBook, **options: Any) -> None:
+    def __init__(self, backoffs: BackoffTracker, **options: Any) -> None:
         super().__init__(**options)
         self._backoffs = backoffs
         self._factory: Any = functools.partial(ReplicaConnection, loop=self._loop)
--- a/reachlink/upstreams/_http.py
+++ b/reachlink/upstreams/_http.py
@@ -13,7 +13,7 @@
 from yarl import URL
 
 from reachlink.kernel import steady_time
-from reachlink.pacing import LimitGate, LocalGate, PacingBook, PermitRequest, parse_limit
+from reachlink.pacing import LimitGate, LocalGate, PacingTracker, PermitOptions, parse_limit
 from reachlink.telemetry import get_logger
 from reachlink.upstreams._bodies import PIECE_BYTES, BodyInPieces
 from reachlink.upstreams._connections import ReplicaConnector, address_of
@@ -75,7 +75,7 @@
 
     Attributes
     ----------
-    pacing : PacingBook
+    pacing : PacingTracker
         What the replicas ask of who sends to them, as all their answers here said.
     gate : LimitGate
         Grants permits for replicas with a limit; a process that is not the only one to send
@@ -90,7 +90,7 @@
         connect_timeout_s: float = CONNECT_TIMEOUT_S,
         bounded: bool = False,
     ) -> None:
-        self.pacing = PacingBook(Random())
+        self.pacing = PacingTracker(Random())
         self.gate: LimitGate = LocalGate(steady_time)
         self.limit_header = LIMIT_HEADER
         # Called when a replica names another limit than before, or none any more.
@@ -219,7 +219,7 @@
         left_s = limits.left_s(address, now)
         if left_s > patience_s and not limits.admits(address, now):
             raise UpstreamLimitedError(left_s)
-        left_s = await self.gate.acquire(address, limit, PermitRequest(patience_s, background))
+        left_s = await self.gate.acquire(address, limit, PermitOptions(patience_s, background))
         if left_s <= patience_s:
             await asyncio.sleep(left_s)
             return
--- a/reachlink/upstreams/tests/test_backoff_load.py
+++ b/reachlink/upstreams/tests/test_backoff_load.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from reachlink.pacing import BackoffBook
+from reachlink.pacing import BackoffTracker
 from reachlink.testing._backoff_load import BackoffLoad, ExactBackoffs, ForgetBackoffs, play
 
 LOAD = BackoffLoad(7, 3, 1)
@@ -24,7 +24,7 @@
 def test_nothing_is_sent_into_a_backoff(seed, one_moment):
     load = replace(LOAD, one_moment=one_moment)
     assert play(load, ForgetBackoffs, seed).into_backoffs > MOST_INTO_BACKOFF
-    kept = play(load, BackoffBook, seed)
+    kept = play(load, BackoffTracker, seed)
     assert kept.into_backoffs == 0
     # Two thirds of the replicas have room for nearly all of the calls.
     assert kept.refused < 0.1
@@ -32,11 +32,11 @@
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_telling_others_what_one_was_asked_for_would_refuse_more(seed):
-    told = play(replace(LOAD, told_on=True), BackoffBook, seed)
-    assert told.refused > 2 * play(LOAD, BackoffBook, seed).refused
+    told = play(replace(LOAD, told_on=True), BackoffTracker, seed)
+    assert told.refused > 2 * play(LOAD, BackoffTracker, seed).refused
 
 
 def test_where_all_come_back_at_one_moment_fewer_come_at_once():
     """2.85 times what a replica can do where each comes at the moment, 2.1 spread."""
     load = BackoffLoad(65, 28, 28, one_moment=True)
-    assert play(load, BackoffBook, 0).peak < play(load, ExactBackoffs, 0).peak
+    assert play(load, BackoffTracker, 0).peak < play(load, ExactBackoffs, 0).peak
