--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -85,33 +85,33 @@
         """Take who may own limits, and how many instances there are."""
         self._addresses = {record.name: record.address for record in owners}
         self._avoided_until.clear()
-        self._sharing.take_roster(self._addresses, instances, self._clock())
+        self._sharing.update_roster(self._addresses, instances, self._clock())
 
     async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
         """Return when one more request may be sent; see `LimitGate`."""
         question = PermitQuery(
             self._directory.name_at(address) or address,
-            limit.per_s,
-            self._clock() - limit.named_at,
-            asked.patience_s,
+            limit.requests_per_s,
+            self._clock() - limit.advertised_at,
+            asked.max_wait_s,
             asked.background,
         )
         wait_s = await self._ask_owners(question)
         if wait_s is None:
             self._count("alone")
-            wait_s = self._sharing.grant_alone(question, self._clock())
-            return _retry_delay_s(wait_s, asked.patience_s)
-        self._count("granted" if wait_s <= asked.patience_s else "refused")
+            wait_s = self._sharing.grant_without_owner(question, self._clock())
+            return _retry_delay_s(wait_s, asked.max_wait_s)
+        self._count("granted" if wait_s <= asked.max_wait_s else "refused")
         return wait_s
 
     def notes(self) -> list[LimitUpdate]:
         """Return what others should know of limits."""
         now = self._clock()
         said: dict[str, tuple[float | None, float]] = {
-            address: (None, at) for address, at in self._book.ended().items()
+            address: (None, at) for address, at in self._book.recently_ended().items()
         }
         for address, limit in self._book.all().items():
-            said[address] = (limit.per_s, limit.named_at)
+            said[address] = (limit.requests_per_s, limit.advertised_at)
         return [
             LimitUpdate(name, per_s, round(now - at, 3))
             for address, (per_s, at) in said.items()
@@ -126,13 +126,13 @@
             if replica is None:
                 continue
             said_at = now - note.age_s
-            if note.per_s is None:
-                news = self._book.end(replica.address, said_at, now)
+            if note.requests_per_s is None:
+                news = self._book.record_absence(replica.address, said_at, now)
             else:
-                news = self._book.name(replica.address, note.per_s, said_at)
+                news = self._book.record(replica.address, note.requests_per_s, said_at)
             if news:
                 self._log.info(
-                    "limit_told", replica=note.replica, per_s=note.per_s, age_s=note.age_s
+                    "limit_told", replica=note.replica, per_s=note.requests_per_s, age_s=note.age_s
                 )
 
     async def _ask_owners(self, question: PermitQuery) -> float | None:
@@ -142,7 +142,7 @@
                 answer: PermitReply | None = self._answer(question)
             else:
                 answer = await self._ask(name, question)
-            if answer is not None and answer.decided:
+            if answer is not None and answer.is_owner:
                 return answer.wait_s
         return None
 
@@ -168,9 +168,9 @@
     def _answer(self, question: PermitQuery) -> PermitReply:
         now = self._clock()
         if not self._sharing.is_owner(question.replica, now):
-            return PermitReply(decided=False)
+            return PermitReply(is_owner=False)
         self._log_share_change(self._sharing.share(now))
-        return PermitReply(decided=True, wait_s=self._sharing.grant(question, now))
+        return PermitReply(is_owner=True, wait_s=self._sharing.grant(question, now))
 
     def _log_share_change(self, share: float) -> None:
         if share != self._last_share:
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -25,7 +25,7 @@
     network.now += sharing.SETTLE_S
     hear(made)
     for one in made:
-        one.pacing.limits.name(ADDRESS, PER_S, network.now)
+        one.pacing.limits.record(ADDRESS, PER_S, network.now)
     return made
 
 
@@ -49,7 +49,7 @@
 
 
 def test_all_ask_the_same_instance_and_get_the_limit_together(fleet):
-    waits = [ask(one, PermitOptions(patience_s=9.0)) for one in fleet * 2]
+    waits = [ask(one, PermitOptions(max_wait_s=9.0)) for one in fleet * 2]
     assert waits == pytest.approx([0.0, 0.5, 1.0, 1.5, 2.0, 2.5])
     asked = {address for address, channel in fleet[0].network.calls}
     assert asked == {in_rank(fleet)[0].record.name}
@@ -71,7 +71,7 @@
     assert sent <= 1.5 * PER_S / 3 + 1
     network.now += sharing.PEER_SILENCE_TIMEOUT_S
     hear(fleet)
-    waits = [ask(one, PermitOptions(patience_s=9.0)) for one in (second, third, second)]
+    waits = [ask(one, PermitOptions(max_wait_s=9.0)) for one in (second, third, second)]
     assert waits == pytest.approx([0.0, 0.5, 1.0])
 
 
@@ -103,17 +103,19 @@
     one, other, third = fleet
     network = one.network
     network.now += 3.0
-    assert one.pacing.limits.end(ADDRESS, network.now, network.now)
+    assert one.pacing.limits.record_absence(ADDRESS, network.now, network.now)
     # What the other has heard before is void here.
     one.limits.take(other.limits.notes())
     assert one.pacing.limits.get(ADDRESS) is None
     network.now += 1.0
-    other.pacing.limits.name(ADDRESS, 5.0, network.now)
+    other.pacing.limits.record(ADDRESS, 5.0, network.now)
     network.now += 0.5
     for told in (one, third):
         told.limits.take(other.limits.notes())
         limit = told.pacing.limits.get(ADDRESS)
-        assert (limit.per_s, network.now - limit.named_at) == pytest.approx((5.0, 0.5))
+        assert (limit.requests_per_s, network.now - limit.advertised_at) == pytest.approx(
+            (5.0, 0.5)
+        )
 
 
 def test_the_end_of_a_limit_is_told_on(fleet):
@@ -121,14 +123,14 @@
     one, other, third = fleet
     network = one.network
     network.now += 1.0
-    third.pacing.limits.name(ADDRESS, PER_S, network.now)
+    third.pacing.limits.record(ADDRESS, PER_S, network.now)
     sent_at = network.now = network.now + 1.0
     network.now += 0.1
-    assert one.pacing.limits.end(ADDRESS, sent_at, network.now)
+    assert one.pacing.limits.record_absence(ADDRESS, sent_at, network.now)
     other.limits.take(one.limits.notes())
     assert other.pacing.limits.get(ADDRESS) is None
     # What was named since holds.
-    third.pacing.limits.name(ADDRESS, PER_S, network.now)
+    third.pacing.limits.record(ADDRESS, PER_S, network.now)
     third.limits.take(one.limits.notes())
     assert third.pacing.limits.get(ADDRESS) is not None
 
@@ -145,13 +147,13 @@
     for one in (coordinator, member):
         one.list_replicas()
         one.take_roster(coordinator)
-    member.pacing.limits.name(ADDRESS, PER_S, network.now)
+    member.pacing.limits.record(ADDRESS, PER_S, network.now)
 
     async def story():
         await member.follow()
-        assert coordinator.pacing.limits.get(ADDRESS).per_s == PER_S
-        coordinator.pacing.limits.name("r2:1", 7.0, network.now)
+        assert coordinator.pacing.limits.get(ADDRESS).requests_per_s == PER_S
+        coordinator.pacing.limits.record("r2:1", 7.0, network.now)
         await member.follow()
 
     asyncio.run(story())
-    assert member.pacing.limits.get("r2:1").per_s == 7.0
+    assert member.pacing.limits.get("r2:1").requests_per_s == 7.0
--- a/reachlink/membership/tests/test_membership.py
+++ b/reachlink/membership/tests/test_membership.py
@@ -79,10 +79,10 @@
     backoffs = pacing.backoffs
     directory = ReplicaDirectory(pacing=pacing)
     directory.update(born(InstanceState.LIVE, 1000), 0.0)
-    backoffs.ask("127.0.0.1:1", 3600.0, 0.0)
+    backoffs.record("127.0.0.1:1", 3600.0, 0.0)
     directory.update(born(InstanceState.LIVE, 2000), 100.0)
     assert backoffs.admits("127.0.0.1:1", 100.0)
-    backoffs.ask("127.0.0.1:1", 3600.0, 100.0)
+    backoffs.record("127.0.0.1:1", 3600.0, 100.0)
     directory.update([ListedInstance("b", "up", "z1", "127.0.0.1:1")], 101.0)
     assert backoffs.admits("127.0.0.1:1", 101.0)
 
--- a/reachlink/pacing/_backoffs.py
+++ b/reachlink/pacing/_backoffs.py
@@ -90,7 +90,7 @@
         """Whether no backoff is tracked."""
         return not self._backoffs
 
-    def ask(self, address: str, wait_s: float, now: float) -> None:
+    def record(self, address: str, wait_s: float, now: float) -> None:
         """Record that a replica wants no requests for `wait_s` seconds.
 
         Of several backoffs the latest end applies: a shorter one does not revoke an earlier,
--- a/reachlink/pacing/_gate.py
+++ b/reachlink/pacing/_gate.py
@@ -14,13 +14,13 @@
 
     Attributes
     ----------
-    patience_s : float
+    max_wait_s : float
         Longest wait for the permit, in seconds.
     background : bool
         Whether the request gives way to all other requests to the replica.
     """
 
-    patience_s: float = 0.0
+    max_wait_s: float = 0.0
     background: bool = False
 
 
@@ -63,6 +63,6 @@
     async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
         """Return the time in seconds until one more request may be sent."""
         now = self._clock()
-        meter = self._meters.setdefault(address, RateLimiter(limit.per_s, now))
-        meter.set_rate(limit.per_s, now)
-        return meter.take(now, asked.patience_s, asked.background)
+        meter = self._meters.setdefault(address, RateLimiter(limit.requests_per_s, now))
+        meter.set_rate(limit.requests_per_s, now)
+        return meter.take(now, asked.max_wait_s, asked.background)
--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -35,10 +35,10 @@
     ValueError
         If the text is not a number, not finite, or negative.
     """
-    per_s = float(text)
-    if not math.isfinite(per_s) or per_s < 0.0:
+    requests_per_s = float(text)
+    if not math.isfinite(requests_per_s) or requests_per_s < 0.0:
         raise ValueError(f"not a rate: {text}")
-    return min(HIGHEST_PER_S, max(LOWEST_PER_S, per_s))
+    return min(HIGHEST_PER_S, max(LOWEST_PER_S, requests_per_s))
 
 
 @dataclass(slots=True)
@@ -47,9 +47,9 @@
 
     Attributes
     ----------
-    per_s : float
+    requests_per_s : float
         Requests per second that the replica accepts from all instances together.
-    named_at : float
+    advertised_at : float
         Monotonic time in seconds at which the replica last advertised the limit.
     free_at : float
         Monotonic time in seconds of this instance's next permit, as last announced.
@@ -57,8 +57,8 @@
         Monotonic time in seconds from which a permit is requested again.
     """
 
-    per_s: float
-    named_at: float
+    requests_per_s: float
+    advertised_at: float
     free_at: float = float("-inf")
     asked_again_at: float = float("-inf")
 
@@ -77,34 +77,34 @@
         """Whether no replica has a limit."""
         return not self._limits
 
-    def name(self, address: str, per_s: float, named_at: float) -> bool:
+    def record(self, address: str, requests_per_s: float, advertised_at: float) -> bool:
         """Record a limit that a replica advertised; return whether it is new or changed.
 
         Parameters
         ----------
         address : str
             Address of the replica.
-        per_s : float
+        requests_per_s : float
             Requests per second.
-        named_at : float
+        advertised_at : float
             Monotonic time in seconds at which the replica advertised the limit. Reports of other
             instances arrive late: a limit that was advertised or ended more recently takes
             precedence.
         """
-        if named_at <= self._ended.get(address, float("-inf")):
+        if advertised_at <= self._ended.get(address, float("-inf")):
             return False
         before = self._limits.get(address)
-        if before is not None and before.named_at >= named_at:
+        if before is not None and before.advertised_at >= advertised_at:
             return False
         if before is None:
-            self._make_room(named_at)
-            self._limits[address] = AdvertisedLimit(per_s, named_at)
+            self._make_room(advertised_at)
+            self._limits[address] = AdvertisedLimit(requests_per_s, advertised_at)
             return True
-        news = before.per_s != per_s
-        before.per_s, before.named_at = per_s, named_at
+        news = before.requests_per_s != requests_per_s
+        before.requests_per_s, before.advertised_at = requests_per_s, advertised_at
         return news
 
-    def end(self, address: str, sent_at: float, now: float) -> bool:
+    def record_absence(self, address: str, sent_at: float, now: float) -> bool:
         """Record an answer without a limit; return whether it ends the replica's limit.
 
         Answers may arrive out of order: only the answer to a request that was sent after the
@@ -120,14 +120,14 @@
             Monotonic time in seconds.
         """
         limit = self._limits.get(address)
-        if limit is None or sent_at <= limit.named_at:
+        if limit is None or sent_at <= limit.advertised_at:
             return False
         del self._limits[address]
         self._ended = {a: at for a, at in self._ended.items() if now - at < ENDED_KEPT_S}
         self._ended[address] = sent_at
         return True
 
-    def ended(self) -> dict[str, float]:
+    def recently_ended(self) -> dict[str, float]:
         """Return the monotonic times in seconds at which recent limits ended, by address."""
         return self._ended
 
@@ -139,7 +139,7 @@
         """Return all limits by address."""
         return self._limits
 
-    def close(self, address: str, left_s: float, now: float) -> None:
+    def block(self, address: str, left_s: float, now: float) -> None:
         """Record that this instance gets no permit for `left_s` seconds."""
         limit = self._limits.get(address)
         if limit is not None:
@@ -164,12 +164,12 @@
         """Do nothing: a request is counted when its permit is granted."""
 
     def note_answer(self, address: str, now: float) -> None:
-        """Do nothing: limits in answers are recorded by `name` and `end`."""
+        """Do nothing: limits in answers are recorded by `record` and `record_absence`."""
 
     def start_again(self, address: str, now: float) -> None:
         """Drop a limit that was advertised before the replica restarted."""
         limit = self._limits.get(address)
-        if limit is not None and now - limit.named_at > START_KNOWN_S:
+        if limit is not None and now - limit.advertised_at > START_KNOWN_S:
             del self._limits[address]
 
     def replace(self, address: str) -> None:
@@ -183,4 +183,4 @@
 
     def _make_room(self, now: float) -> None:
         if len(self._limits) >= MAX_REMEMBERED:
-            del self._limits[min(self._limits, key=lambda a: self._limits[a].named_at)]
+            del self._limits[min(self._limits, key=lambda a: self._limits[a].advertised_at)]
--- a/reachlink/pacing/_messages.py
+++ b/reachlink/pacing/_messages.py
@@ -18,21 +18,21 @@
     ----------
     replica : str
         Name of the replica.
-    per_s : float
+    requests_per_s : float
         Requests per second that the replica accepts from all instances, as known to the
         sender of the message.
     age_s : float
         Time in seconds since the replica advertised that limit.
-    patience_s : float
+    max_wait_s : float
         Longest wait for a permit, in seconds.
     background : bool
         Whether the request gives way to all other requests to the replica.
     """
 
     replica: str
-    per_s: float
+    requests_per_s: float
     age_s: float
-    patience_s: float = 0.0
+    max_wait_s: float = 0.0
     background: bool = False
 
 
@@ -41,14 +41,14 @@
 
     Attributes
     ----------
-    decided : bool
+    is_owner : bool
         Whether the instance that replies owns the limit; if not, `wait_s` has no meaning.
     wait_s : float
-        Time in seconds until the request may be sent; if longer than `patience_s` of the
+        Time in seconds until the request may be sent; if longer than `max_wait_s` of the
         question, no permit is reserved.
     """
 
-    decided: bool
+    is_owner: bool
     wait_s: float = 0.0
 
 
@@ -59,7 +59,7 @@
     ----------
     replica : str
         Name of the replica.
-    per_s : float or None
+    requests_per_s : float or None
         Requests per second that the replica accepts from all instances; None if its limit
         has ended.
     age_s : float
@@ -67,5 +67,5 @@
     """
 
     replica: str
-    per_s: float | None
+    requests_per_s: float | None
     age_s: float
--- a/reachlink/pacing/_meter.py
+++ b/reachlink/pacing/_meter.py
@@ -22,29 +22,29 @@
 
     Attributes
     ----------
-    per_s : float
+    permits_per_s : float
         Permits per second.
     free_at : float
         Monotonic time in seconds at which the next permit is free.
     """
 
-    per_s: float
+    permits_per_s: float
     free_at: float
 
-    def set_rate(self, per_s: float, now: float) -> None:
+    def set_rate(self, permits_per_s: float, now: float) -> None:
         """Change the rate; times of reserved permits are rescaled to the new rate."""
-        if per_s != self.per_s:
-            self.free_at = now + (self.free_at - now) * self.per_s / per_s
-            self.per_s = per_s
+        if permits_per_s != self.permits_per_s:
+            self.free_at = now + (self.free_at - now) * self.permits_per_s / permits_per_s
+            self.permits_per_s = permits_per_s
 
-    def take(self, now: float, patience_s: float = 0.0, background: bool = False) -> float:
+    def take(self, now: float, max_wait_s: float = 0.0, background: bool = False) -> float:
         """Reserve a permit if one is free in time; return the wait for it in seconds.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
-        patience_s : float
+        max_wait_s : float
             Longest wait for a permit, in seconds; a later permit is not reserved.
         background : bool
             Whether to take only a permit that has been free for one interval of the rate
@@ -53,13 +53,13 @@
         Returns
         -------
         float
-            Time in seconds until the permit is free; if longer than `patience_s`, no permit is
+            Time in seconds until the permit is free; if longer than `max_wait_s`, no permit is
             reserved.
         """
-        interval_s = 1.0 / self.per_s
+        interval_s = 1.0 / self.permits_per_s
         earliest = max(self.free_at, now - SAVED * interval_s)
         wanted = self.free_at + interval_s if background else earliest
         wait_s = max(0.0, wanted - now)
-        if wait_s <= patience_s:
+        if wait_s <= max_wait_s:
             self.free_at = earliest + interval_s
         return wait_s
--- a/reachlink/pacing/_refusals.py
+++ b/reachlink/pacing/_refusals.py
@@ -100,7 +100,7 @@
         if refusing is not None and refusing.tried_at is None and not refusing.left_s(now):
             refusing.tried_at = now
 
-    def note_taken(self, address: str, sent_at: float) -> None:
+    def note_accepted(self, address: str, sent_at: float) -> None:
         """Record that a replica accepted and answered a request.
 
         If the request was sent after the last refusal, the replica accepts requests again and is
@@ -127,7 +127,7 @@
         refusing = self._refusing.get(address)
         return refusing.left_s(now) if refusing is not None else 0.0
 
-    def refuses(self, address: str, now: float) -> bool:
+    def is_refusing(self, address: str, now: float) -> bool:
         """Return whether a replica rejected its last request within the last `KEPT_S` seconds."""
         refusing = self._refusing.get(address)
         if refusing is not None and now >= refusing.refused_at + KEPT_S:
@@ -143,7 +143,7 @@
         """Drop expired entries and, if still at the maximum, the one with the oldest refusal."""
         if len(self._refusing) < MAX_REMEMBERED:
             return
-        for address in [a for a in self._refusing if not self.refuses(a, now)]:
+        for address in [a for a in self._refusing if not self.is_refusing(a, now)]:
             self.forget(address)
         if len(self._refusing) >= MAX_REMEMBERED:
             self.forget(min(self._refusing, key=lambda a: self._refusing[a].refused_at))
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -100,10 +100,10 @@
         self._alone: dict[str, RateLimiter] = {}
         # Time of each replica's most recent limit and the limit in requests per second, for the
         # limits that this instance grants.
-        self._named: dict[str, tuple[float, float]] = {}
+        self._advertised: dict[str, tuple[float, float]] = {}
         self._ranked: dict[str, list[str]] = {}
 
-    def take_roster(self, owners: Iterable[str], instances: int, now: float) -> None:
+    def update_roster(self, owners: Iterable[str], instances: int, now: float) -> None:
         """Update the instances that may own limits, and the number of all instances."""
         names = sorted(owners)
         if names != self._owners:
@@ -147,39 +147,39 @@
 
         See `RateLimiter.take`.
         """
-        per_s = self._newest(question, now) * self.share(now)
+        requests_per_s = self._newest(question, now) * self.share(now)
         meter = self._owned.get(question.replica)
         if meter is None:
             _make_room(self._owned)
-            meter = self._owned[question.replica] = RateLimiter(per_s, now)
-        meter.set_rate(per_s, now)
-        return meter.take(now, question.patience_s, question.background)
+            meter = self._owned[question.replica] = RateLimiter(requests_per_s, now)
+        meter.set_rate(requests_per_s, now)
+        return meter.take(now, question.max_wait_s, question.background)
 
-    def grant_alone(self, question: PermitQuery, now: float) -> float:
+    def grant_without_owner(self, question: PermitQuery, now: float) -> float:
         """Return the wait in seconds for a permit for a request of this instance without an owner.
 
         Used while this instance reaches no owner of the limit; see `RateLimiter.take`.
         """
-        per_s = question.per_s / max(1, len(self._known), *self._counts)
+        requests_per_s = question.requests_per_s / max(1, len(self._known), *self._counts)
         meter = self._alone.get(question.replica)
         if meter is None:
             _make_room(self._alone)
             # If hundreds of instances lose the owner at the same moment, they must not all start
             # with a permit at once.
-            first_s = self._random.random() / per_s
-            meter = self._alone[question.replica] = RateLimiter(per_s, now + first_s)
-        meter.set_rate(per_s, now)
-        return meter.take(now, question.patience_s, question.background)
+            first_s = self._random.random() / requests_per_s
+            meter = self._alone[question.replica] = RateLimiter(requests_per_s, now + first_s)
+        meter.set_rate(requests_per_s, now)
+        return meter.take(now, question.max_wait_s, question.background)
 
     def _newest(self, question: PermitQuery, now: float) -> float:
         """Return the replica's most recent limit among those that any question reported."""
-        named_at, per_s = self._named.get(question.replica, (float("-inf"), 0.0))
-        if now - question.age_s >= named_at:
-            named_at, per_s = now - question.age_s, question.per_s
-            if len(self._named) >= MAX_METERS:
-                self._named.clear()
-            self._named[question.replica] = (named_at, per_s)
-        return per_s
+        advertised_at, requests_per_s = self._advertised.get(question.replica, (float("-inf"), 0.0))
+        if now - question.age_s >= advertised_at:
+            advertised_at, requests_per_s = now - question.age_s, question.requests_per_s
+            if len(self._advertised) >= MAX_METERS:
+                self._advertised.clear()
+            self._advertised[question.replica] = (advertised_at, requests_per_s)
+        return requests_per_s
 
     def _hears(self, name: str, now: float) -> bool:
         return now - self._heard_at(name) <= PEER_SILENCE_TIMEOUT_S
--- a/reachlink/pacing/tests/test_book.py
+++ b/reachlink/pacing/tests/test_book.py
@@ -19,16 +19,16 @@
     return PacingTracker(Random(1))
 
 
-def close(book: PacingTracker, address: str, until: float) -> None:
-    book.limits.name(address, 3.3, 0.0)
-    book.limits.close(address, until, 0.0)
+def block(book: PacingTracker, address: str, until: float) -> None:
+    book.limits.record(address, 3.3, 0.0)
+    book.limits.block(address, until, 0.0)
 
 
 def test_hold_lasts_until_the_first_backoff_ends(book):
     assert book.hold([], 0.0) is None
-    book.backoffs.ask(A, 30.0, 0.0)
+    book.backoffs.record(A, 30.0, 0.0)
     assert book.hold([A, B], 0.0) is None
-    book.backoffs.ask(B, 3.0, 0.0)
+    book.backoffs.record(B, 3.0, 0.0)
     held = book.hold([A, B], 0.0)
     assert held.reason is HoldReason.BACKOFF
     assert 3.0 <= held.left_s <= ENDED_S
@@ -37,8 +37,8 @@
 
 
 def test_hold_has_the_reason_of_the_first_available_replica(book):
-    book.backoffs.ask(A, 30.0, 0.0)
-    close(book, B, 0.5)
+    book.backoffs.record(A, 30.0, 0.0)
+    block(book, B, 0.5)
     held = book.hold([A, B], 0.0)
     assert (held.reason, held.left_s) == (HoldReason.LIMIT, 0.5)
     # A replica with a limit and a free permit counts as fully available.
@@ -46,27 +46,27 @@
 
 
 def test_backoff_and_limit_both_block_a_replica(book):
-    book.backoffs.ask(A, BACKOFF_S, 0.0)
+    book.backoffs.record(A, BACKOFF_S, 0.0)
     assert not book.admits(A, BACKOFF_S)
-    close(book, A, 60.0)
+    block(book, A, 60.0)
     assert book.left_s(A, 0.0) == 60.0
     assert not book.admits(A, ASKED_AGAIN_S)
-    close(book, B, 0.4)
+    block(book, B, 0.4)
     assert not book.admits(B, 0.3)
     assert book.admits(B, 0.4)
 
 
 def test_requests_may_wait_for_a_permit_but_not_for_a_backoff(book):
-    close(book, A, 0.4)
+    block(book, A, 0.4)
     assert not book.admits(A, 0.0)
     assert book.admits(A, 0.0, within_s=0.4)
-    book.backoffs.ask(A, 0.1, 0.0)
+    book.backoffs.record(A, 0.1, 0.0)
     assert not book.admits(A, 0.0, within_s=0.4)
 
 
 def test_state_is_dropped_if_the_address_is_reused(book):
-    close(book, A, 60.0)
-    book.backoffs.ask(A, 60.0, 0.0)
+    block(book, A, 60.0)
+    book.backoffs.record(A, 60.0, 0.0)
     book.replace(A)
     assert book.admits(A, 0.0)
     assert book.is_empty
@@ -78,7 +78,7 @@
     The owner of the limit may change, and its share with it: an instance that has just started
     grants a small share only, and may announce a wait of 20 s.
     """
-    close(book, A, 20.0)
+    block(book, A, 20.0)
     assert not book.admits(A, ASKED_AGAIN_S / 2)
     assert book.admits(A, ASKED_AGAIN_S)
     # Callers are told the wait that was announced last.
--- a/reachlink/pacing/tests/test_refusals.py
+++ b/reachlink/pacing/tests/test_refusals.py
@@ -63,27 +63,27 @@
 
 def test_first_later_answer_ends_tracking(book):
     now = refuse(book, 5)
-    book.note_taken(A, now + 1.0)
+    book.note_accepted(A, now + 1.0)
     assert book.is_empty
 
 
 def test_answer_to_an_earlier_request_ends_the_wait(book):
     now = refuse(book, 5)
-    book.note_taken(A, now - 0.5)
+    book.note_accepted(A, now - 0.5)
     assert book.left_s(A, now) == 0.0
     # There is no probe after such an answer. The replica still counts as refusing: it may be full
     # again, and only requests that can be retried should go there.
     book.note_sent(A, now)
     assert book.left_s(A, now) == 0.0
-    assert book.refuses(A, now)
+    assert book.is_refusing(A, now)
     # A further refusal starts again with the shortest wait.
     assert book.note_refused(A, now, now) == refusals.FIRST_S
 
 
 def test_refusals_expire_if_no_request_is_sent(book):
     now = refuse(book, 5)
-    assert book.refuses(A, now + refusals.KEPT_S - 0.1)
-    assert not book.refuses(A, now + refusals.KEPT_S)
+    assert book.is_refusing(A, now + refusals.KEPT_S - 0.1)
+    assert not book.is_refusing(A, now + refusals.KEPT_S)
     assert book.is_empty
 
 
@@ -91,4 +91,4 @@
     for number in range(refusals.MAX_REMEMBERED + 1):
         book.note_refused(f"{number}:1", 0.0, number * 0.001)
     assert not book.left_s("0:1", 0.0)
-    assert book.refuses(f"{refusals.MAX_REMEMBERED}:1", 2.0)
+    assert book.is_refusing(f"{refusals.MAX_REMEMBERED}:1", 2.0)
--- a/reachlink/pacing/tests/test_sharing.py
+++ b/reachlink/pacing/tests/test_sharing.py
@@ -51,10 +51,10 @@
 
 def test_permits_are_granted_at_the_rate_and_in_order():
     meter = RateLimiter(4.0, 10.0)
-    assert [meter.take(10.0, patience_s=9.0) for _ in range(4)] == [0.0, 0.25, 0.5, 0.75]
+    assert [meter.take(10.0, max_wait_s=9.0) for _ in range(4)] == [0.0, 0.25, 0.5, 0.75]
     # A permit that is free only after the longest wait is not reserved.
-    assert meter.take(10.0, patience_s=0.5) == 1.0
-    assert meter.take(10.0, patience_s=1.0) == 1.0
+    assert meter.take(10.0, max_wait_s=0.5) == 1.0
+    assert meter.take(10.0, max_wait_s=1.0) == 1.0
 
 
 def test_one_unused_permit_is_kept():
@@ -76,7 +76,7 @@
     meter = RateLimiter(0.1, 0.0)
     assert meter.take(0.0) == 0.0
     meter.set_rate(1.0, 0.0)
-    assert meter.take(0.0, patience_s=5.0) == pytest.approx(1.0)
+    assert meter.take(0.0, max_wait_s=5.0) == pytest.approx(1.0)
 
 
 @dataclass
@@ -100,7 +100,7 @@
     def start(self, name):
         heard = lambda other, me=name: self.heard.get((me, other), float("-inf"))  # noqa: E731
         self.made[name] = LimitSharing(name, heard, Random(name))
-        self.made[name].take_roster(self.names, self.count, self.now)
+        self.made[name].update_roster(self.names, self.count, self.now)
 
     def hears(self, one, other):
         up = not {one, other} & self.dead
@@ -118,7 +118,7 @@
             reached = owner == name or self.hears(name, owner)
             if reached and self.made[owner].is_owner(question.replica, self.now):
                 return self.made[owner].grant(question, self.now)
-        return self.made[name].grant_alone(question, self.now)
+        return self.made[name].grant_without_owner(question, self.now)
 
     def play(self, seconds, per_s, random):
         """Let every instance request more permits than it gets for a number of seconds."""
@@ -213,12 +213,12 @@
     random = Random(1)
     fleet = [LimitSharing(f"e{n}", lambda name: float("-inf"), random) for n in range(410)]
     for one in fleet:
-        one.take_roster([f"c{n}" for n in range(10)], 410, 0.0)
+        one.update_roster([f"c{n}" for n in range(10)], 410, 0.0)
     sent = []
     for step in range(800):
         now = 10.0 + step * STEP_S
         for one in fleet:
-            if one.grant_alone(PermitQuery("r", 3.3, 0.0), now) <= 0.0:
+            if one.grant_without_owner(PermitQuery("r", 3.3, 0.0), now) <= 0.0:
                 sent.append(now)
     most = max(sum(a <= b < a + WINDOW_S for b in sent) for a in sent)
     assert most <= FACTOR * 3.3 * WINDOW_S + MORE
@@ -226,7 +226,7 @@
 
 def test_most_recent_limit_applies_to_all_instances():
     one = LimitSharing("e0", lambda name: float("-inf"), Random(1))
-    one.take_roster(["e0"], 1, 0.0)
+    one.update_roster(["e0"], 1, 0.0)
     one.grant(PermitQuery("r", 2.0, age_s=0.1), 10.0)
     # Older information with a higher limit must not replace the newer one.
     one.grant(PermitQuery("r", 200.0, age_s=5.0), 10.0)
--- a/reachlink/requests/_placing.py
+++ b/reachlink/requests/_placing.py
@@ -294,9 +294,9 @@
     def refusing(self, request: CallerRequest, tried: Set[str]) -> set[str]:
         """Return the replicas that refuse requests; the empty set if all allowed ones do."""
         now = self._parts.clock()
-        refuses = self._parts.pacing.refusals.refuses
+        is_refusing = self._parts.pacing.refusals.is_refusing
         usable = self._usable(request, tried, now)
-        found = {replica.name for replica in usable if refuses(replica.address, now)}
+        found = {replica.name for replica in usable if is_refusing(replica.address, now)}
         return found if len(found) < len(usable) else set()
 
     def _usable(self, request: CallerRequest, tried: Set[str], now: float) -> list[Replica]:
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -192,7 +192,7 @@
             request.relay.admitted = False
         now = parts.clock()
         if not answer.head.not_run:
-            parts.pacing.refusals.note_taken(replica.address, sent_at)
+            parts.pacing.refusals.note_accepted(replica.address, sent_at)
         if answer.head.load is not None:
             self._pace.note_load(replica, answer.head.load, now)
         self._outcome_recorder.record_leaving(replica, answer.head, now)
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -27,7 +27,7 @@
 
 def back_off(made: World, *names: str, wait_s: float = LONG_S) -> None:
     for name in names:
-        made.backoffs.ask(f"{name}:1", wait_s, made.now())
+        made.backoffs.record(f"{name}:1", wait_s, made.now())
 
 
 def sent_to(made: World) -> list[str]:
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -26,8 +26,8 @@
 def limit(made: World, left_s: float, *names: str) -> None:
     """Have replicas name a limit, with nothing left of it for some seconds."""
     for name in names:
-        made.pacing.limits.name(f"{name}:1", PER_S, made.now())
-        made.pacing.limits.close(f"{name}:1", left_s, made.now())
+        made.pacing.limits.record(f"{name}:1", PER_S, made.now())
+        made.pacing.limits.block(f"{name}:1", left_s, made.now())
 
 
 def sent_to(made: World) -> list[str]:
--- a/reachlink/testing/_backoff_load.py
+++ b/reachlink/testing/_backoff_load.py
@@ -41,7 +41,7 @@
 class ForgetBackoffs(BackoffTracker):
     """Remembers nothing: the next call is sent as if no backoff had been asked for."""
 
-    def ask(self, address: str, wait_s: float, now: float) -> None:
+    def record(self, address: str, wait_s: float, now: float) -> None:
         """Drop what a replica asks for."""
 
 
@@ -52,7 +52,7 @@
         super().__init__(random)
         self._until: dict[str, float] = {}
 
-    def ask(self, address: str, wait_s: float, now: float) -> None:
+    def record(self, address: str, wait_s: float, now: float) -> None:
         """Take that a replica wants nothing more for some seconds."""
         self._until[address] = max(now + wait_s, self._until.get(address, 0.0))
 
@@ -64,9 +64,9 @@
 class TrialBackoffs(BackoffTracker):
     """One first and then more and more, from the exact end on."""
 
-    def ask(self, address: str, wait_s: float, now: float) -> None:
+    def record(self, address: str, wait_s: float, now: float) -> None:
         """Take that a replica wants nothing more for some seconds."""
-        super().ask(address, wait_s, now)
+        super().record(address, wait_s, now)
         self._backoffs[address].until = min(self._backoffs[address].until, now + wait_s)
 
 
@@ -234,7 +234,7 @@
 
     def _tell(self, instance: int, chosen: int, wait_s: float, at: float) -> None:
         book = self._books[instance]
-        self._at(at, lambda now: book.ask(str(chosen), wait_s, now))
+        self._at(at, lambda now: book.record(str(chosen), wait_s, now))
 
     def _note_into_backoff(self, instance: int, chosen: int, now: float) -> None:
         for asked_at, until in self._asked.get((instance, chosen), ()):
--- a/reachlink/testing/_limit_load.py
+++ b/reachlink/testing/_limit_load.py
@@ -223,7 +223,7 @@
             reached = owner == instance or world.hears(instance, owner)
             if reached and self._sharing[owner].is_owner("r", world.now):
                 return self._sharing[owner].grant(question, world.now)
-        return sharing.grant_alone(question, world.now)
+        return sharing.grant_without_owner(question, world.now)
 
     def tick(self) -> None:
         """Have those that grant hear of each other."""
@@ -242,7 +242,7 @@
 
     def _make(self, name: str) -> LimitSharing:
         made = LimitSharing(name, lambda other: self._heard_at(name, other), self.world.random)
-        made.take_roster(self._owners, self.world.load.instances, self.world.now)
+        made.update_roster(self._owners, self.world.load.instances, self.world.now)
         return made
 
     def _heard_at(self, name: str, other: str) -> float:
--- a/reachlink/upstreams/_http.py
+++ b/reachlink/upstreams/_http.py
@@ -224,7 +224,7 @@
             await asyncio.sleep(left_s)
             return
         if not background:
-            limits.close(address, left_s, steady_time())
+            limits.block(address, left_s, steady_time())
         raise UpstreamLimitedError(left_s)
 
     async def connect(self, address: str) -> None:
@@ -273,7 +273,7 @@
         if wait_s is None:
             self.pacing.note_answer(address, steady_time())
             return
-        self.pacing.backoffs.ask(address, wait_s, steady_time())
+        self.pacing.backoffs.record(address, wait_s, steady_time())
         self._log.info(
             "backoff_requested", address=address, status=response.status, wait_s=round(wait_s, 3)
         )
@@ -294,7 +294,7 @@
         if text is None:
             succeeded = response.status in _SUCCESS
             ends = sent_at is not None and succeeded
-            if ends and self.pacing.limits.end(address, sent_at or 0.0, steady_time()):
+            if ends and self.pacing.limits.record_absence(address, sent_at or 0.0, steady_time()):
                 self._log.info("limit_ended", address=address)
                 self.on_limit()
             return
@@ -304,7 +304,7 @@
             reason = str(error)[:SHOWN_TEXT]
             self._log.info("limit_unreadable", address=address, reason=reason)
             return
-        if self.pacing.limits.name(address, per_s, steady_time()):
+        if self.pacing.limits.record(address, per_s, steady_time()):
             self._log.info("limit_named", address=address, per_s=per_s)
             self.on_limit()
 
--- a/reachlink/upstreams/tests/test_connections.py
+++ b/reachlink/upstreams/tests/test_connections.py
@@ -214,7 +214,7 @@
 
         async def slow(connector, req, traces, timeout):
             connection = await connect(connector, req, traces, timeout)
-            client.pacing.backoffs.ask(address_of(req.url), 60.0, steady_time())
+            client.pacing.backoffs.record(address_of(req.url), 60.0, steady_time())
             return connection
 
         monkeypatch.setattr(aiohttp.TCPConnector, "connect", slow)
