--- a/reachlink/entry/_caller_sink.py
+++ b/reachlink/entry/_caller_sink.py
@@ -39,7 +39,7 @@
         """What was begun, or None."""
         return self._response
 
-    async def whole(self, head: AnswerHead, body: bytes) -> None:
+    async def write_whole(self, head: AnswerHead, body: bytes) -> None:
         """Give a whole answer."""
         if self._host.held.limited and len(body) > PIECE_BYTES:
             await self._in_pieces(head, body)
--- a/reachlink/requests/__init__.py
+++ b/reachlink/requests/__init__.py
@@ -15,7 +15,7 @@
     total,
 )
 from reachlink.requests._model import AnswerSink, CallerRequest
-from reachlink.requests._parts import Directory, RetryTerms, RunnerParts
+from reachlink.requests._parts import Directory, RetryLimits, RunnerParts
 from reachlink.requests._place_question import PlaceAnswer, PlaceQuestion, Purpose
 from reachlink.requests._placing import Placing
 from reachlink.requests._runner import RequestRunner
@@ -43,7 +43,7 @@
     "ReplicaOutcome",
     "ReplicaShare",
     "ReplicaState",
-    "RetryTerms",
+    "RetryLimits",
     "RequestFailedError",
     "RequestRunner",
     "RequestsError",
--- a/reachlink/requests/_flights.py
+++ b/reachlink/requests/_flights.py
@@ -62,7 +62,7 @@
 
     def full(self, size: int) -> frozenset[str]:
         """Return the replicas whose limit of bytes from this instance `size` would exceed."""
-        return self._sent.full(size, self._parts.instances())
+        return self._sent.full(size, self._parts.instance_count())
 
     def has_read(self, flight: Flight) -> None:
         """Record that a replica has processed a request's prompt."""
--- a/reachlink/requests/_model.py
+++ b/reachlink/requests/_model.py
@@ -24,15 +24,15 @@
         The one of the route's services that was drawn for it.
     arrived_at : float
         When it was read, in monotonic seconds.
-    patience_s : float
+    caller_timeout_s : float
         How long its caller waits from then on, in seconds.
     zones : frozenset of str, optional
         Availability zones that it may run in; None for any.
     refusal : Refuse, optional
         Why and until when there is no place for it, as the line's owner says.
-    held_back : Hold, optional
+    last_hold : Hold, optional
         Why its replicas got nothing as it was last looked for one.
-    held : Holding, optional
+    caller_buffer : Holding, optional
         Counts what is held for its caller; None where nobody counts.
     """
 
@@ -40,11 +40,11 @@
     route: Route
     service: Service
     arrived_at: float
-    patience_s: float
+    caller_timeout_s: float
     zones: frozenset[str] | None = None
     refusal: Refuse | None = None
-    held_back: Hold | None = None
-    held: Holding | None = None
+    last_hold: Hold | None = None
+    caller_buffer: Holding | None = None
 
     @property
     def request_id(self) -> str:
@@ -52,9 +52,9 @@
         return self.relay.request_id
 
     @property
-    def give_up_at(self) -> float:
+    def deadline(self) -> float:
         """When it must have its final answer, in monotonic seconds."""
-        return self.arrived_at + min(self.patience_s, self.route.timeout_s)
+        return self.arrived_at + min(self.caller_timeout_s, self.route.timeout_s)
 
     @property
     def prompt_tokens(self) -> int:
@@ -65,7 +65,7 @@
 class AnswerSink(Protocol):
     """Takes an answer and gives it to the caller."""
 
-    async def whole(self, head: AnswerHead, body: bytes) -> None:
+    async def write_whole(self, head: AnswerHead, body: bytes) -> None:
         """Give a whole answer."""
 
     async def begin(self, head: AnswerHead) -> None:
--- a/reachlink/requests/_needs.py
+++ b/reachlink/requests/_needs.py
@@ -22,7 +22,7 @@
         tokens=need_tokens(request),
         prompt_tokens=request.prompt_tokens,
         first_by_s=request.arrived_at + request.route.objective_s - now,
-        give_up_in_s=request.give_up_at - now,
+        give_up_in_s=request.deadline - now,
         longest_pause_s=request.route.event_gap_s,
         priority=request.relay.priority,
         workspace=request.relay.workspace,
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -69,7 +69,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class RetryTerms:
+class RetryLimits:
     """How often requests may be sent again, by all entry instances together.
 
     Attributes
@@ -110,10 +110,10 @@
         Monotonic time in seconds.
     on_outcome : callable
         Called with the request, outcome code and duration in seconds.
-    retries : RetryTerms
+    retry_limits : RetryLimits
         How often requests may be sent again.
-    instances : callable
-        Returns how many entry instances share what `retries` allows.
+    instance_count : callable
+        Returns how many entry instances share what `retry_limits` allows.
     on_leaving : callable
         Called with the name of a replica that leaves or seems to, and whether it said so.
     on_gone : callable
@@ -142,8 +142,8 @@
     shared: SharedLoad
     random: Random
     on_outcome: Callable[[CallerRequest, str, float], None]
-    retries: RetryTerms = RetryTerms()
-    instances: Callable[[], int] = lambda: 1
+    retry_limits: RetryLimits = RetryLimits()
+    instance_count: Callable[[], int] = lambda: 1
     on_leaving: Callable[[str, bool], None] = lambda name, said: None
     on_gone: Callable[[str], None] = lambda name: None
     cut_off: Callable[[], bool] = lambda: False
--- a/reachlink/requests/_patience.py
+++ b/reachlink/requests/_patience.py
@@ -29,7 +29,7 @@
 
 def first_list_until(request: CallerRequest) -> float:
     """Return until when a request may wait for the first list, in monotonic seconds."""
-    total_s = request.give_up_at - request.arrived_at
+    total_s = request.deadline - request.arrived_at
     return request.arrived_at + min(FIRST_LIST_WAIT_S, total_s * FIRST_LIST_WAIT_SHARE)
 
 
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -182,7 +182,7 @@
         """
         parts = self._parts
         await self._guard.admit(request.relay.fingerprint, request.request_id)
-        left = request.give_up_at - parts.clock()
+        left = request.deadline - parts.clock()
         sent_at = parts.clock()
         parts.pacing.note_sent(replica.address, sent_at)
         try:
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -40,7 +40,7 @@
 
     def begin(self, request: CallerRequest) -> AttemptLog:
         """Return the empty log of a request's attempts, which earns its share of retries."""
-        self._budget(request.service).on_first_attempt(self._parts.retries.share)
+        self._budget(request.service).on_first_attempt(self._parts.retry_limits.share)
         return AttemptLog(request.route.may_repeat, request.route.max_attempts)
 
     def has_retry_left(self, service: Service) -> bool:
@@ -89,7 +89,7 @@
         # Those that it was sent to, too: who comes back may go there.
         hold = self._placing.hold(request, frozenset())
         # One may have become free since the last look; why it was refused holds all the same.
-        hold = hold or request.held_back
+        hold = hold or request.last_hold
         if hold is not None and hold.reason is not HoldReason.REFUSING:
             wait = max(RETRY_AFTER_S, hold.left_s)
             return RequestFailedError(503, hold.reason.value, Outcome.NOT_RUN, wait)
@@ -119,6 +119,8 @@
         if budget is None:
             budget = self._budgets[service.name] = RetryBudget()
         # Each instance saves up its part of what all may spend at one time.
-        budget.most = max(1.0, self._parts.retries.burst / max(1, self._parts.instances()))
+        budget.most = max(
+            1.0, self._parts.retry_limits.burst / max(1, self._parts.instance_count())
+        )
         budget.saved = min(budget.saved, budget.most)
         return budget
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -49,7 +49,7 @@
         now = asyncio.get_running_loop().time()
         for scope, request in self._running.items():
             if not scope.expired():
-                scope.reschedule(now + max(0.0, request.give_up_at - self._parts.clock()))
+                scope.reschedule(now + max(0.0, request.deadline - self._parts.clock()))
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
         """Carry one request to its end.
@@ -66,7 +66,7 @@
         scope: asyncio.Timeout | None = None
         guard = self._dispatch.guard
         try:
-            async with asyncio.timeout(max(0.0, request.give_up_at - started)) as scope:
+            async with asyncio.timeout(max(0.0, request.deadline - started)) as scope:
                 self._running[scope] = request
                 # At once, before it waits for a place.
                 guard.check(request.relay.fingerprint, request.request_id)
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -128,7 +128,7 @@
             if answer.head.success and not answer.head.genuine:
                 return AttemptFailure.BROKEN
             if not answer.head.success:
-                await self._sink.whole(answer.head, await self._read_whole(answer))
+                await self._sink.write_whole(answer.head, await self._read_whole(answer))
                 return None
             self._head_sent = True
             await self._sink.begin(answer.head)
@@ -237,7 +237,7 @@
             raise UpstreamBrokenError(f"silent for {MAX_SILENCE_S} s") from error
 
     async def _read_whole(self, answer: RelayAnswer) -> bytes:
-        return await read_whole(answer, self._request.held)
+        return await read_whole(answer, self._request.caller_buffer)
 
     async def _open(self, replica: Replica, continuation: Continuation | None) -> RelayAnswer:
         self._sent_at = self._dispatch.now()
--- a/reachlink/requests/_timely_placing.py
+++ b/reachlink/requests/_timely_placing.py
@@ -44,7 +44,7 @@
         parts = self._parts
         request.relay.admitted = False
         request.refusal = None
-        request.held_back = None
+        request.last_hold = None
         while True:
             was_whole = parts.directory.is_whole
             calm_only = may_wait_for_room(request, parts.clock())
@@ -65,7 +65,7 @@
             if request.refusal is None:
                 if not was_whole and await self._wait_for_first_list(request):
                     continue
-                request.held_back = hold
+                request.last_hold = hold
             self._log_no_room(request, tried)
             return None
 
--- a/reachlink/requests/_whole.py
+++ b/reachlink/requests/_whole.py
@@ -60,7 +60,7 @@
             if not self._dispatch.retry_policy.may_retry(request, replica, result, attempts):
                 break
         if fallback is not None:
-            await sink.whole(*fallback)
+            await sink.write_whole(*fallback)
             return
         raise self._dispatch.retry_policy.failure(request, attempts)
 
@@ -85,7 +85,7 @@
                     answer.close()
                     return self._dispatch.outcomes.record_refusal(replica, answer.head, sent_at)
                 wait = _BufferWait(scope)
-                body = await read_whole(answer, request.held, wait.begin, previous_bytes)
+                body = await read_whole(answer, request.caller_buffer, wait.begin, previous_bytes)
         except UpstreamHeldBackError as error:
             return pacing_failure(error)
         except UpstreamUnreachableError:
@@ -112,8 +112,8 @@
 
 def _record_buffered(request: CallerRequest, body: bytes) -> None:
     """Count an answer that is kept: one before it is kept no longer."""
-    if request.held is not None:
-        request.held.note(HeldKind.ANSWER, len(body))
+    if request.caller_buffer is not None:
+        request.caller_buffer.note(HeldKind.ANSWER, len(body))
 
 
 class _BufferWait:
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.requests import RequestFailedError, RetryTerms, StreamCutError
+from reachlink.requests import RequestFailedError, RetryLimits, StreamCutError
 from reachlink.requests import _request_dispatcher as dispatch
 from reachlink.requests.tests.world import (
     BACKUP_ENGINE,
@@ -53,7 +53,7 @@
     made = everywhere("a a a", prefix, script=failing(UpstreamBackoffError(LONG_S)))
     last = list(made.zones)[-1]
     made.adapter.scripts[last] = [answering(200, stream(1, 2))]
-    made.parts.retries = RetryTerms(0.0, 0.0)
+    made.parts.retry_limits = RetryLimits(0.0, 0.0)
     asyncio.run(made.run(kind, max_attempts=1))
     assert sent_to(made)[-1] == last
     assert made.outcomes == ["delivered"]
--- a/reachlink/requests/tests/test_paces_beside_callers.py
+++ b/reachlink/requests/tests/test_paces_beside_callers.py
@@ -78,7 +78,7 @@
     async def play() -> float:
         request = made.request(RequestKind.STREAM, 2000, 2000)
         request.route = replace(request.route, timeout_s=60.0)
-        request.patience_s = 60.0
+        request.caller_timeout_s = 60.0
         await made.runner.run(request, SlowSink(reads_s, rests_s))
         return loop_time()
 
--- a/reachlink/requests/tests/test_paces_beside_room.py
+++ b/reachlink/requests/tests/test_paces_beside_room.py
@@ -23,10 +23,10 @@
 async def call(made: World, budget: HeldBytes) -> None:
     request = made.request(RequestKind.REPEATABLE)
     request.route = replace(request.route, timeout_s=60.0)
-    request.patience_s = 60.0
-    request.held = Holding(budget)
+    request.caller_timeout_s = 60.0
+    request.caller_buffer = Holding(budget)
     await made.runner.run(request, MemorySink())
-    request.held.release()
+    request.caller_buffer.release()
 
 
 def test_an_answer_that_waited_for_room_shows_nothing():
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reachlink.membership import LeavingSource
-from reachlink.requests import Flight, RequestFailedError, RetryTerms
+from reachlink.requests import Flight, RequestFailedError, RetryLimits
 from reachlink.requests.tests.world import (
     OK,
     Dispatched,
@@ -107,7 +107,7 @@
     for name in refused:
         made.adapter.scripts[name] = [refusing(made)]
     made.adapter.scripts[last] = [answering(200, stream(1, 2))]
-    made.parts.retries = RetryTerms(0.0, 0.0)
+    made.parts.retry_limits = RetryLimits(0.0, 0.0)
     # Others look busier: the last one is tried last.
     for _ in range(5):
         made.book.add(last, Flight("other", 10, 0))
--- a/reachlink/requests/tests/test_refusing.py
+++ b/reachlink/requests/tests/test_refusing.py
@@ -6,7 +6,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.pacing import _refusals as refusals
-from reachlink.requests import RequestFailedError, RetryTerms
+from reachlink.requests import RequestFailedError, RetryLimits
 from reachlink.requests.tests.world import NOT_RUN, MemorySink, World, answering, world
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
@@ -25,7 +25,10 @@
         self.now = steady_time()
         self.ends: list[str] = []
         made.parts.clock = lambda: self.now
-        made.parts.retries, made.parts.instances = RetryTerms(SHARE, BURST), lambda: instances
+        made.parts.retry_limits, made.parts.instance_count = (
+            RetryLimits(SHARE, BURST),
+            lambda: instances,
+        )
 
     async def make(self, count: int, kind: RequestKind) -> None:
         for _ in range(count):
--- a/reachlink/requests/tests/test_replica_bytes.py
+++ b/reachlink/requests/tests/test_replica_bytes.py
@@ -46,7 +46,7 @@
     """Return a request that a busy machine does not end."""
     request = world.request(kind)
     request.route = replace(request.route, timeout_s=60.0)
-    request.patience_s = 60.0
+    request.caller_timeout_s = 60.0
     return request
 
 
@@ -102,7 +102,7 @@
         budget = HeldBytes(6 * MB)
         budget.change(HeldKind.REQUEST, 5 * MB)
         request = patient(world, RequestKind.REPEATABLE)
-        request.held = Holding(budget)
+        request.caller_buffer = Holding(budget)
         sink = MemorySink()
         running = asyncio.create_task(world.runner.run(request, sink))
         await until(lambda: len(world.adapter.sent) == 1)
@@ -122,7 +122,7 @@
     async def work() -> None:
         world = world_of(answering(200, b"a" * (3 * MB)))
         request = patient(world, RequestKind.ONCE)
-        request.held = Holding(HeldBytes(6 * MB))
+        request.caller_buffer = Holding(HeldBytes(6 * MB))
         with pytest.raises(RequestFailedError) as failed:
             await world.runner.run(request, MemorySink())
         assert (failed.value.status, failed.value.outcome.value) == (502, "unknown")
@@ -142,7 +142,7 @@
         world = world_of(script)
         budget = HeldBytes(12 * MB)
         request = patient(world, RequestKind.REPEATABLE)
-        request.held = Holding(budget)
+        request.caller_buffer = Holding(budget)
         sink = MemorySink()
         running = asyncio.create_task(world.runner.run(request, sink))
         most = 0
--- a/reachlink/requests/tests/test_runner.py
+++ b/reachlink/requests/tests/test_runner.py
@@ -6,7 +6,7 @@
 
 from reachlink.delivery import Outcome
 from reachlink.kernel import steady_time
-from reachlink.requests import RequestFailedError, RetryTerms, StreamCutError
+from reachlink.requests import RequestFailedError, RetryLimits, StreamCutError
 from reachlink.requests.tests.world import (
     BROKEN,
     NOT_RUN,
@@ -125,7 +125,7 @@
 def test_many_instances_share_what_may_be_sent_again():
     made = everywhere("a a a a", script=NOT_RUN)
     parts = made.runner._parts
-    parts.retries, parts.instances = RetryTerms(share=0.0, burst=8.0), lambda: 8
+    parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=8.0), lambda: 8
     for _ in range(40):
         refused(made, RequestKind.ONCE, objective_s=0.01)
     assert len(made.adapter.sent) <= 40 + 1
@@ -190,7 +190,7 @@
     """Ten of a zone's replicas crash and come back: lists have the names before for seconds."""
     made = everywhere("a " * 10 + "b", script=MISDIRECTED)
     made.adapter.scripts["p11"] = [OK]
-    made.runner._dispatch._parts.retries = RetryTerms(share=10.0, burst=20.0)
+    made.runner._dispatch._parts.retry_limits = RetryLimits(share=10.0, burst=20.0)
     for _ in range(20):
         assert asyncio.run(made.run(RequestKind.ONCE, max_attempts=1)).body == b"whole"
         # A list that lags says that all are there.
@@ -202,7 +202,7 @@
 def test_what_was_misdirected_takes_from_the_retry_budget():
     made = everywhere("a a", script=MISDIRECTED)
     parts = made.runner._dispatch._parts
-    parts.retries, parts.instances = RetryTerms(share=0.0, burst=1.0), lambda: 1
+    parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=1.0), lambda: 1
     error = refused(made, RequestKind.ONCE, max_attempts=1)
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert len(made.adapter.sent) == 2
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -196,7 +196,7 @@
     body: bytes = b""
     ended: bool = False
 
-    async def whole(self, head: AnswerHead, body: bytes) -> None:
+    async def write_whole(self, head: AnswerHead, body: bytes) -> None:
         self.head, self.body, self.ended = head, body, True
 
     async def begin(self, head: AnswerHead) -> None:
@@ -267,7 +267,7 @@
         service = Service("model", "/health", 10, self.engine) if streams else PLAIN
         facts = GenerationFacts("m", 3000, output_tokens, (), expected_tokens) if streams else None
         relay = RelayRequest("id-1", "POST", "/x", [], b"", generation=facts)
-        return CallerRequest(relay, ROUTES[kind], service, steady_time(), patience_s=4.0)
+        return CallerRequest(relay, ROUTES[kind], service, steady_time(), caller_timeout_s=4.0)
 
     async def run(
         self,
