--- a/benchmarks/bench_decision.py
+++ b/benchmarks/bench_decision.py
@@ -26,7 +26,7 @@
 )
 from reachlink.requests._placing import Placing
 from reachlink.routing import Backend, EngineLimits, RequestKind, Route, Service
-from reachlink.scheduling import Need, Option, Pace, best_start
+from reachlink.scheduling import Need, Pace, ReplicaOption, best_start
 from reachlink.upstreams import GenerationFacts, RelayRequest
 
 REPLICAS = 142
@@ -59,16 +59,16 @@
     )
 
 
-def options(replicas: int, paces: bool) -> list[Option]:
+def options(replicas: int, paces: bool) -> list[ReplicaOption]:
     """Return replicas with some generations each, a quarter of them quick."""
     random = Random(2)
     quick, slow = Pace(0.55, 1.0, 2.5, 0.15, 0.1), Pace(1.2, 1.0, 2.5, 0.15, 0.1)
     found = []
     for number in range(replicas):
         running = random.randrange(7)
-        option = Option(
+        option = ReplicaOption(
             f"r{number}",
-            near=number % 3 == 0,
+            same_zone=number % 3 == 0,
             running=running,
             slots=ENGINE.slots,
             tokens=3800 * running,
@@ -86,7 +86,7 @@
     """Return the mean processor time of one choice among options, in microseconds."""
     random = Random(3)
     known = options(replicas, paces)
-    need = Need(3900, 3000, first_by_s=1.8, longest_pause_s=0.18)
+    need = Need(3900, 3000, first_event_due_in_s=1.8, max_pause_s=0.18)
     began = time.process_time()
     for _ in range(decisions):
         best_start(known, need, random)
--- a/reachlink/coordination/_return_ledger.py
+++ b/reachlink/coordination/_return_ledger.py
@@ -103,7 +103,7 @@
                 reason=told.reason.value,
                 come_back_in_s=round(told.retry_after_s, 3),
                 place_kept=told.place_reserved,
-                returner=need.returner,
+                returner=need.is_announced_retry,
                 ahead=line.ahead,
                 ahead_tokens=line.ahead_tokens,
                 told_tokens=line.reserved_tokens,
--- a/reachlink/coordination/tests/test_line.py
+++ b/reachlink/coordination/tests/test_line.py
@@ -20,14 +20,14 @@
     tokens: int = 9_000,
     hold_s: float = HOLD_S,
     priority: int = 5,
-    first_by_s: float = 4.0,
+    first_event_due_in_s: float = 4.0,
     give_up_in_s: float = 30.0,
     waited_s: float = 0.0,
 ) -> PlaceQuestion:
     need = Need(
         tokens=tokens,
         prompt_tokens=3_000,
-        first_by_s=first_by_s,
+        first_event_due_in_s=first_event_due_in_s,
         give_up_in_s=give_up_in_s,
         priority=priority,
         waited_s=waited_s,
@@ -116,7 +116,9 @@
 def test_all_instances_of_a_zone_wait_in_one_order():
     async def scene():
         network, chosen, (m1, m2) = full()
-        late = asyncio.ensure_future(m1.member.ask(asked("late", first_by_s=-1.0, hold_s=2.0)))
+        late = asyncio.ensure_future(
+            m1.member.ask(asked("late", first_event_due_in_s=-1.0, hold_s=2.0))
+        )
         await asyncio.sleep(0.01)
         usual = asyncio.ensure_future(m2.member.ask(asked("usual", hold_s=2.0)))
         await asyncio.sleep(0.01)
@@ -230,7 +232,7 @@
     async def scene():
         _, chosen, (m1, _) = full()
         late = asyncio.ensure_future(
-            m1.member.ask(asked("late", first_by_s=-1.0, give_up_in_s=90.0, hold_s=1.0))
+            m1.member.ask(asked("late", first_event_due_in_s=-1.0, give_up_in_s=90.0, hold_s=1.0))
         )
         await asyncio.sleep(0.01)
         rest = [
@@ -337,7 +339,7 @@
         ]
         await asyncio.sleep(0.01)
         first = msgspec.structs.replace(
-            asked("first", first_by_s=-1.0, give_up_in_s=9.0), fingerprint=7
+            asked("first", first_event_due_in_s=-1.0, give_up_in_s=9.0), fingerprint=7
         )
         told = await others[0].member.ask(first)
         assert told is not None and isinstance(told.otherwise, Refuse)
@@ -347,11 +349,11 @@
             owner.line.leave(SERVICE.name, f"id-{crowd.index(task)}")
         await asyncio.sleep(max(0.0, told.otherwise.retry_after_s - HOLD_S))
         newcomer = asyncio.ensure_future(
-            others[0].member.ask(asked("new", first_by_s=-1.0, give_up_in_s=9.0))
+            others[0].member.ask(asked("new", first_event_due_in_s=-1.0, give_up_in_s=9.0))
         )
         await asyncio.sleep(0.01)
         back = msgspec.structs.replace(
-            asked("again", first_by_s=-1.0, give_up_in_s=6.0), fingerprint=7
+            asked("again", first_event_due_in_s=-1.0, give_up_in_s=6.0), fingerprint=7
         )
         returner = asyncio.ensure_future(others[1].member.ask(back))
         await asyncio.sleep(0.01)
--- a/reachlink/coordination/tests/test_line_refusals.py
+++ b/reachlink/coordination/tests/test_line_refusals.py
@@ -19,7 +19,7 @@
         await all_wait(scene, "id-1")
         await asyncio.sleep(KNOWN_S)
         # It may begin in the first half of its time, and has its turn in a quarter of it.
-        long = asked("long", tokens=8_000, hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0)
+        long = asked("long", tokens=8_000, hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         answer = await scene.others[1].member.ask(long)
         assert answer is not None and isinstance(answer.otherwise, Wait)
         assert 5.0 < answer.otherwise.expected_wait_s < 15.0
@@ -53,17 +53,17 @@
 def test_who_comes_back_has_the_age_of_its_wait_before_its_refusal():
     async def story(scene: Scene) -> None:
         first, second = scene.others
-        tried = asked("tried", hold_s=1.0, first_by_s=50.0, give_up_in_s=1.9)
+        tried = asked("tried", hold_s=1.0, first_event_due_in_s=50.0, give_up_in_s=1.9)
         tried = msgspec.structs.replace(tried, fingerprint=7)
         waiting = asyncio.ensure_future(first.member.ask(tried))
         await asyncio.sleep(0.3)
-        younger = asked("younger", hold_s=1.0, first_by_s=50.0, give_up_in_s=60.0)
+        younger = asked("younger", hold_s=1.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         others = [asyncio.ensure_future(second.member.ask(younger))]
         told = await waiting
         assert told is not None and isinstance(told.otherwise, Refuse)
         others.append(asyncio.ensure_future(second.member.ask(younger)))
         await asyncio.sleep(told.otherwise.retry_after_s)
-        back = asked("back", hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0)
+        back = asked("back", hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         back = msgspec.structs.replace(back, fingerprint=7)
         answer = await first.member.ask(back)
         assert answer is not None and isinstance(answer.otherwise, Wait)
@@ -76,7 +76,9 @@
 def test_who_came_back_and_whose_place_lapses_keeps_its_age():
     async def story(scene: Scene) -> None:
         first, second = scene.others
-        tried = asked("tried", hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0, waited_s=5.0)
+        tried = asked(
+            "tried", hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0, waited_s=5.0
+        )
         line = scene.owner.line
         assert line is not None
         assert tried.need is not None
@@ -84,13 +86,13 @@
             7, "chat", tried.need, Refuse(0.1, place_reserved=True), scene.network.now
         )
         await asyncio.sleep(0.15)
-        back = asked("back", hold_s=0.0, first_by_s=50.0, give_up_in_s=60.0)
+        back = asked("back", hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         back = msgspec.structs.replace(back, fingerprint=7)
         await first.member.ask(back)
         # Its instance says nothing for longer than its place is kept.
         await asyncio.sleep(1.0)
         assert line.waiting == {"chat": 0}
-        await second.member.ask(asked("older", hold_s=0.0, first_by_s=50.0, waited_s=3.0))
+        await second.member.ask(asked("older", hold_s=0.0, first_event_due_in_s=50.0, waited_s=3.0))
         answer = await first.member.ask(back)
         assert answer is not None and isinstance(answer.otherwise, Wait)
         assert answer.otherwise.ahead == 0
--- a/reachlink/coordination/tests/test_return_ledger.py
+++ b/reachlink/coordination/tests/test_return_ledger.py
@@ -48,7 +48,7 @@
         clock.now += 3.1
         need, start = ask(ledger, "id-2", Begin("r1"))
     assert start == Begin("r1")
-    assert need.returner and need.waited_s == pytest.approx(3.1)
+    assert need.is_announced_retry and need.waited_s == pytest.approx(3.1)
     assert ledger.book.counts.kept == 1
     refused, found = logs
     assert (refused["event"], refused["reason"], refused["ahead"]) == ("refused", "over_share", 7)
@@ -60,7 +60,7 @@
     ask(ledger, "id-1", REFUSED)
     clock.now += 1.0
     need, start = ask(ledger, "id-2", Refuse(9.0))
-    assert not need.returner
+    assert not need.is_announced_retry
     assert start == Refuse(2.0, RefusalReason.NO_ROOM, place_reserved=True)
 
 
--- a/reachlink/requests/_needs.py
+++ b/reachlink/requests/_needs.py
@@ -21,9 +21,9 @@
     return Need(
         tokens=need_tokens(request),
         prompt_tokens=request.prompt_tokens,
-        first_by_s=request.arrived_at + request.route.objective_s - now,
+        first_event_due_in_s=request.arrived_at + request.route.objective_s - now,
         give_up_in_s=request.deadline - now,
-        longest_pause_s=request.route.event_gap_s,
+        max_pause_s=request.route.event_gap_s,
         priority=request.relay.priority,
         workspace=request.relay.workspace,
         waited_s=now - request.arrived_at,
--- a/reachlink/requests/_place_question.py
+++ b/reachlink/requests/_place_question.py
@@ -12,14 +12,14 @@
 
 from reachlink.requests._load_notes import ListedReplica, MemoryNote, ReplicaShare
 from reachlink.scheduling import (
-    COPY,
-    COPY_HOME,
-    IN_LINE,
-    REQUEST,
-    RESCUE,
+    DEPARTURE_COPY_RULES,
+    LOCAL_COPY_RULES,
+    QUEUED_RULES,
+    REQUEST_RULES,
+    STANDING_COPY_RULES,
     Need,
+    PlacementRules,
     Refuse,
-    Terms,
     Wait,
 )
 
@@ -39,10 +39,10 @@
 
 
 _TERMS = {
-    Purpose.REQUEST: REQUEST,
-    Purpose.STANDING_COPY: COPY,
-    Purpose.COPY_AT_HOME: COPY_HOME,
-    Purpose.RESCUE: RESCUE,
+    Purpose.REQUEST: REQUEST_RULES,
+    Purpose.STANDING_COPY: STANDING_COPY_RULES,
+    Purpose.COPY_AT_HOME: LOCAL_COPY_RULES,
+    Purpose.RESCUE: DEPARTURE_COPY_RULES,
 }
 
 
@@ -106,9 +106,9 @@
         return self.hold_s is not None and self.need is not None
 
     @property
-    def terms(self) -> Terms:
+    def terms(self) -> PlacementRules:
         """Conditions for the allocation of an engine's memory."""
-        return IN_LINE if self.in_line else _TERMS[self.purpose]
+        return QUEUED_RULES if self.in_line else _TERMS[self.purpose]
 
     def occupies(self, replica: str) -> ReplicaShare:
         """Return the usage to assume at the chosen replica until the instance reports its own."""
--- a/reachlink/requests/_placing.py
+++ b/reachlink/requests/_placing.py
@@ -17,14 +17,14 @@
     EMPTY_QUEUE,
     Begin,
     Need,
-    Option,
     QueueState,
     Refuse,
+    ReplicaOption,
     Start,
     Wait,
     best_start,
-    choose,
-    is_calm,
+    choose_replica,
+    prefill_ends_before_resume,
 )
 from reachlink.upstreams import Replica
 
@@ -185,7 +185,7 @@
             excluded=tuple(excluded | self._held_replicas(request.service)),
             zone=zone or self._parts.zone,
             zones=_sorted_zones(request.zones),
-            need=Need(tokens=tokens, longest_pause_s=request.route.event_gap_s),
+            need=Need(tokens=tokens, max_pause_s=request.route.event_gap_s),
         )
         found = self.decide(request.service, question)
         # The local information is at most a second old. It is good enough to avoid sending
@@ -242,9 +242,9 @@
         """Return whether a replica has room for a request or copy now."""
         options = self._options_for(service, question)
         random, terms = self._parts.random, question.terms
-        return choose(options, question.tokens, random, terms) is not None
+        return choose_replica(options, question.tokens, random, terms) is not None
 
-    def _options_for(self, service: Service, question: PlaceQuestion) -> list[Option]:
+    def _options_for(self, service: Service, question: PlaceQuestion) -> list[ReplicaOption]:
         """Return the replicas that are allowed for a request or copy."""
         excluded = set(question.excluded)
         if question.purpose is Purpose.REQUEST:
@@ -253,7 +253,7 @@
         if question.zones is not None:
             options = [o for o in options if self._zone_of(o.name) in question.zones]
         if question.calm_only:
-            options = [o for o in options if is_calm(o, PROMPT_DELAY_S)]
+            options = [o for o in options if prefill_ends_before_resume(o, PROMPT_DELAY_S)]
         return options
 
     def decide(self, service: Service, question: PlaceQuestion) -> Replica | None:
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -6,7 +6,7 @@
 from reachlink.requests._parts import RunnerParts
 from reachlink.requests._reachable_replicas import ReachableReplicas
 from reachlink.routing import Service
-from reachlink.scheduling import Option, Pace
+from reachlink.scheduling import Pace, ReplicaOption
 from reachlink.upstreams import Replica
 
 # Maximum number of replicas in a log line, at about 60 bytes each.
@@ -28,7 +28,7 @@
         self._parts = parts
         self._reachable = reachable
 
-    def of(self, service: Service, excluded: set[str], zone: str = "") -> list[Option]:
+    def of(self, service: Service, excluded: set[str], zone: str = "") -> list[ReplicaOption]:
         """Return the load and health of the reachable replicas of a service.
 
         Parameters
@@ -55,7 +55,7 @@
         shown = " ".join(
             f"{o.name}:{o.tokens}:{o.used_tokens}+{o.copy_tokens}"
             f":{o.reported_tokens}/{o.capacity_tokens}"
-            f":{o.running}:{o.unread_tokens}:{o.trust:.1f}"
+            f":{o.running}:{o.unread_tokens}:{o.allowance:.1f}"
             for o in options[:MAX_DESCRIBED]
         )
         return (
@@ -72,7 +72,7 @@
         trust: float,
         near: str,
         now: float,
-    ) -> Option:
+    ) -> ReplicaOption:
         engine = service.engine
         all_shares = self._parts.shared.at(replica.name, now)
         if state.flights:
@@ -80,20 +80,20 @@
         sampled = state.sample.slots if state.sample else 0
         copies = all_shares.copy_tokens
         reported = state.reported_tokens(now)
-        return Option(
+        return ReplicaOption(
             name=replica.name,
-            near=replica.availability_zone == near,
+            same_zone=replica.availability_zone == near,
             running=state.running(now, all_shares.running),
             slots=engine.slots if engine else sampled,
             tokens=max(all_shares.tokens, reported - copies),
             used_tokens=max(all_shares.used_tokens, reported - copies),
             copy_tokens=copies,
             reported_tokens=reported,
-            arriving=all_shares.arriving,
+            pending_transfers=all_shares.arriving,
             unread_tokens=all_shares.unread_tokens,
             capacity_tokens=engine.kv_capacity_tokens if engine else 0,
-            trust=trust,
-            joins_in_s=all_shares.joins_in_s,
+            allowance=trust,
+            resumes_in_s=all_shares.joins_in_s,
             pace=self._pace(service, replica, now),
             tokens_per_event=engine.tokens_per_event if engine else 1,
             own_running=state.own_running,
--- a/reachlink/requests/tests/test_choice.py
+++ b/reachlink/requests/tests/test_choice.py
@@ -4,7 +4,13 @@
 
 from reachlink.requests import AttemptFailure, AttemptLog
 from reachlink.requests._event_merger import EventMerger
-from reachlink.scheduling import COPY, COPY_HOME, RESCUE, Option, choose
+from reachlink.scheduling import (
+    DEPARTURE_COPY_RULES,
+    LOCAL_COPY_RULES,
+    STANDING_COPY_RULES,
+    ReplicaOption,
+    choose_replica,
+)
 from reachlink.upstreams import StreamEvent
 
 RANDOM = Random(3)
@@ -18,76 +24,85 @@
     trust: float = 1.0,
     used: int = 0,
     copies: int = 0,
-) -> Option:
-    return Option(name, near, 1, 64, tokens, unread, 30_000, trust, used, copies)
+) -> ReplicaOption:
+    return ReplicaOption(name, near, 1, 64, tokens, unread, 30_000, trust, used, copies)
 
 
-def plain(name: str, running: int, near: bool = True, trust: float = 1.0) -> Option:
-    return Option(name, near, running, 6, trust=trust)
+def plain(name: str, running: int, near: bool = True, trust: float = 1.0) -> ReplicaOption:
+    return ReplicaOption(name, near, running, 6, allowance=trust)
 
 
 def test_the_emptiest_engine_is_chosen():
-    assert choose([engine("a", 9000), engine("b", 3000)], 2000, RANDOM) == "b"
+    assert choose_replica([engine("a", 9000), engine("b", 3000)], 2000, RANDOM) == "b"
 
 
 def test_prompts_to_be_read_count():
-    assert choose([engine("a", 6000), engine("b", 3000, unread=6000)], 2000, RANDOM) == "a"
+    assert choose_replica([engine("a", 6000), engine("b", 3000, unread=6000)], 2000, RANDOM) == "a"
 
 
 def test_a_near_engine_that_begins_in_time_is_chosen_before_an_idle_one_elsewhere():
     far = engine("far", 0, near=False)
-    assert choose([engine("near", 12_000, unread=2000), far], 2000, RANDOM) == "near"
-    assert choose([engine("near", 12_000, unread=4000), far], 2000, RANDOM) == "far"
-    assert choose([engine("near", 27_000), far], 2000, RANDOM) == "far"
+    assert choose_replica([engine("near", 12_000, unread=2000), far], 2000, RANDOM) == "near"
+    assert choose_replica([engine("near", 12_000, unread=4000), far], 2000, RANDOM) == "far"
+    assert choose_replica([engine("near", 27_000), far], 2000, RANDOM) == "far"
 
 
 def test_of_near_engines_that_begin_in_time_the_emptiest_is_chosen():
     options = [engine("a", 9000), engine("b", 3000), engine("far", 0, near=False)]
-    assert choose(options, 2000, RANDOM) == "b"
+    assert choose_replica(options, 2000, RANDOM) == "b"
 
 
 def test_an_engine_without_room_gets_nothing():
-    assert choose([engine("a", 29_000)], 4000, RANDOM) is None
+    assert choose_replica([engine("a", 29_000)], 4000, RANDOM) is None
 
 
 def test_a_request_counts_what_was_promised_a_copy_what_is_used():
     promised = [engine("a", 29_000, used=15_000)]
-    assert choose(promised, 4000, RANDOM) is None
-    assert choose(promised, 4000, RANDOM, COPY) == "a"
-    assert choose([engine("a", 29_000, used=22_000)], 4000, RANDOM, COPY) is None
+    assert choose_replica(promised, 4000, RANDOM) is None
+    assert choose_replica(promised, 4000, RANDOM, STANDING_COPY_RULES) == "a"
+    assert (
+        choose_replica([engine("a", 29_000, used=22_000)], 4000, RANDOM, STANDING_COPY_RULES)
+        is None
+    )
 
 
 def test_copies_give_way_to_requests_and_rescues_but_not_to_copies():
     options = [engine("a", 15_000, used=12_000, copies=12_000)]
-    assert choose(options, 4000, RANDOM) == "a"
-    assert choose(options, 4000, RANDOM, RESCUE) == "a"
-    assert choose(options, 4000, RANDOM, COPY) is None
+    assert choose_replica(options, 4000, RANDOM) == "a"
+    assert choose_replica(options, 4000, RANDOM, DEPARTURE_COPY_RULES) == "a"
+    assert choose_replica(options, 4000, RANDOM, STANDING_COPY_RULES) is None
 
 
 def test_a_rescue_takes_any_room():
-    assert choose([engine("a", 33_000, used=26_000)], 4000, RANDOM, RESCUE) == "a"
-    assert choose([engine("a", 33_000, used=26_100)], 4000, RANDOM, RESCUE) is None
+    assert (
+        choose_replica([engine("a", 33_000, used=26_000)], 4000, RANDOM, DEPARTURE_COPY_RULES)
+        == "a"
+    )
+    assert (
+        choose_replica([engine("a", 33_000, used=26_100)], 4000, RANDOM, DEPARTURE_COPY_RULES)
+        is None
+    )
 
 
 def test_a_copy_of_what_runs_elsewhere_is_near():
     options = [engine("near", 9000), engine("far", 0, near=False)]
-    assert choose(options, 3000, RANDOM, COPY) == "far"
-    assert choose(options, 3000, RANDOM, COPY_HOME) == "near"
+    assert choose_replica(options, 3000, RANDOM, STANDING_COPY_RULES) == "far"
+    assert choose_replica(options, 3000, RANDOM, LOCAL_COPY_RULES) == "near"
 
 
 def test_the_least_busy_plain_replica_is_chosen_the_near_one_first():
-    assert choose([plain("a", 2), plain("b", 1)], 0, RANDOM) == "b"
-    assert choose([plain("a", 2, near=False), plain("b", 2)], 0, RANDOM) == "b"
-    assert choose([plain("a", 1, near=False), plain("b", 3)], 0, RANDOM) == "a"
+    assert choose_replica([plain("a", 2), plain("b", 1)], 0, RANDOM) == "b"
+    assert choose_replica([plain("a", 2, near=False), plain("b", 2)], 0, RANDOM) == "b"
+    assert choose_replica([plain("a", 1, near=False), plain("b", 3)], 0, RANDOM) == "a"
 
 
 def test_the_only_replica_is_used_though_it_recovers():
     """Found on a day with a cut zone: nine of ten requests were refused for want of trust."""
-    assert all(choose([plain("a", 1, trust=0.1)], 0, RANDOM) == "a" for _ in range(100))
+    assert all(choose_replica([plain("a", 1, trust=0.1)], 0, RANDOM) == "a" for _ in range(100))
 
 
 def test_a_replica_without_trust_gets_nothing():
-    assert choose([plain("a", 1, trust=0.0)], 0, RANDOM) is None
+    assert choose_replica([plain("a", 1, trust=0.0)], 0, RANDOM) is None
 
 
 def test_one_that_may_have_run_does_not_go_on():
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -11,7 +11,7 @@
 from reachlink.requests._load_notes import RESUME_TOLERANCE_S
 from reachlink.requests.tests.world import answering, everywhere, stream
 from reachlink.routing import RequestKind
-from reachlink.scheduling import Option, choose, is_calm
+from reachlink.scheduling import ReplicaOption, choose_replica, prefill_ends_before_resume
 
 
 @pytest.mark.parametrize("notice_s", [0.5, 1.2, 2.5])
@@ -63,14 +63,14 @@
 
 
 def test_a_prompt_is_not_read_while_a_generation_joins():
-    def option(joins_in_s: float | None) -> Option:
-        return Option("r", True, 0, 8, joins_in_s=joins_in_s)
-
-    assert is_calm(option(None), 0.35)
-    assert is_calm(option(0.5), 0.35)
-    assert not is_calm(option(0.2), 0.35)
-    assert not is_calm(option(-RESUME_TOLERANCE_S / 2), 0.35)
-    assert choose([option(0.2)], 0, Random(1)) == "r"
+    def option(joins_in_s: float | None) -> ReplicaOption:
+        return ReplicaOption("r", True, 0, 8, resumes_in_s=joins_in_s)
+
+    assert prefill_ends_before_resume(option(None), 0.35)
+    assert prefill_ends_before_resume(option(0.5), 0.35)
+    assert not prefill_ends_before_resume(option(0.2), 0.35)
+    assert not prefill_ends_before_resume(option(-RESUME_TOLERANCE_S / 2), 0.35)
+    assert choose_replica([option(0.2)], 0, Random(1)) == "r"
 
 
 def test_the_others_are_told_when_a_generation_joins():
--- a/reachlink/requests/tests/test_promise_load.py
+++ b/reachlink/requests/tests/test_promise_load.py
@@ -7,7 +7,7 @@
 import pytest
 
 from reachlink.requests._outlook import GenerationProgress
-from reachlink.scheduling import Option, choose
+from reachlink.scheduling import ReplicaOption, choose_replica
 
 # Engines as in the shifted deployment, those that take work at a time of trouble.
 REPLICAS, CAPACITY_TOKENS, SLOTS = 14, 21_878, 24
@@ -72,7 +72,7 @@
 
     def _start(self, chat: Chat, random: Random) -> None:
         need = PROMPT_TOKENS + chat.guess
-        name = choose(
+        name = choose_replica(
             [self._option(i, chats) for i, chats in enumerate(self.running)], need, random
         )
         if name is None:
@@ -80,11 +80,11 @@
         else:
             self.running[int(name)].append(chat)
 
-    def _option(self, number: int, chats: list[Chat]) -> Option:
+    def _option(self, number: int, chats: list[Chat]) -> ReplicaOption:
         used = sum(chat.outlook.used_tokens for chat in chats)
-        return Option(
+        return ReplicaOption(
             str(number),
-            near=True,
+            same_zone=True,
             running=len(chats),
             slots=SLOTS,
             tokens=max(used, sum(self.promise(chat.outlook) for chat in chats)),
--- a/reachlink/scheduling/__init__.py
+++ b/reachlink/scheduling/__init__.py
@@ -6,15 +6,23 @@
     RetryReservation,
     with_caller_retry,
 )
-from reachlink.scheduling._choice import choose, is_calm
+from reachlink.scheduling._choice import choose_replica, prefill_ends_before_resume
 from reachlink.scheduling._duration import latest_start_s
 from reachlink.scheduling._forecast import ENGINE_SPEED, EngineSpeed, Forecast, forecast
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._option import Option
 from reachlink.scheduling._pace import USUAL, Pace
 from reachlink.scheduling._pace_book import PaceBook, PaceChange, PaceSource, apart
 from reachlink.scheduling._pace_notes import PaceNote, pace_note
 from reachlink.scheduling._paces import HeardPace, Kin, PaceBelief
+from reachlink.scheduling._placement_rules import (
+    DEPARTURE_COPY_RULES,
+    LOCAL_COPY_RULES,
+    QUEUED_RULES,
+    REQUEST_RULES,
+    STANDING_COPY_RULES,
+    MemoryMeasure,
+    PlacementRules,
+)
 from reachlink.scheduling._queue_state import EMPTY_QUEUE, QueueState
 from reachlink.scheduling._refusal import (
     RefusalReason,
@@ -26,29 +34,29 @@
     max_retry_after_s,
     refusal_if_needed,
 )
+from reachlink.scheduling._replica_option import ReplicaOption
 from reachlink.scheduling._request_queue import MAX_QUEUED, QueuedRequest, RequestQueue
 from reachlink.scheduling._rhythm import StreamRhythm, usual_event_s
 from reachlink.scheduling._settings import SchedulingChoice, SchedulingSettings
 from reachlink.scheduling._start import Begin, Start, Wait, best_start
-from reachlink.scheduling._terms import COPY, COPY_HOME, IN_LINE, REQUEST, RESCUE, Measure, Terms
 
 __all__ = [
     "Begin",
-    "COPY",
-    "COPY_HOME",
+    "STANDING_COPY_RULES",
+    "LOCAL_COPY_RULES",
     "ENGINE_SPEED",
     "EngineSpeed",
     "Forecast",
     "HeardPace",
     "Kin",
-    "IN_LINE",
+    "QUEUED_RULES",
     "RequestQueue",
     "QueueState",
     "MAX_QUEUED",
-    "Measure",
+    "MemoryMeasure",
     "EMPTY_QUEUE",
     "Need",
-    "Option",
+    "ReplicaOption",
     "Pace",
     "PaceBelief",
     "PaceBook",
@@ -56,8 +64,8 @@
     "PaceNote",
     "PaceSource",
     "RetryReservation",
-    "REQUEST",
-    "RESCUE",
+    "REQUEST_RULES",
+    "DEPARTURE_COPY_RULES",
     "RefusalReason",
     "Refuse",
     "CallerRetryRegistry",
@@ -66,17 +74,17 @@
     "SchedulingSettings",
     "Start",
     "StreamRhythm",
-    "Terms",
+    "PlacementRules",
     "USUAL",
     "Wait",
     "QueuedRequest",
     "apart",
     "best_start",
-    "choose",
+    "choose_replica",
     "fair_share",
     "expected_wait_s",
     "forecast",
-    "is_calm",
+    "prefill_ends_before_resume",
     "pace_note",
     "usual_event_s",
     "is_over_share",
--- a/reachlink/scheduling/_caller_retries.py
+++ b/reachlink/scheduling/_caller_retries.py
@@ -318,4 +318,4 @@
     if reservation is None:
         return need
     age_s = min(MAX_CREDITED_AGE_S, now - reservation.first_attempt_at)
-    return structs.replace(need, waited_s=max(need.waited_s, age_s), returner=True)
+    return structs.replace(need, waited_s=max(need.waited_s, age_s), is_announced_retry=True)
--- a/reachlink/scheduling/_forecast.py
+++ b/reachlink/scheduling/_forecast.py
@@ -3,25 +3,25 @@
 from dataclasses import dataclass
 
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._option import Option
 from reachlink.scheduling._pace import USUAL, Pace
+from reachlink.scheduling._replica_option import ReplicaOption
 
 # Duration of a slow phase, in which a noisy neighbor takes the processor, in seconds.
-BAD_MOMENT_S = 0.5
+SLOW_PHASE_S = 0.5
 # Multiple of the steady pace from which `Pace.moment` indicates a slow phase.
 BAD_FROM = 1.3
 # Bounds of the steady pace that is used for decisions, whatever a replica reports.
-LEAST_STEADY = 0.5
-MOST_STEADY = 4.0
+MIN_STEADY = 0.5
+MAX_STEADY = 4.0
 # Smoothing of the wait near the point where all slots are taken, relative to the slots:
 # requests arrive and end at random, and reports are old.
-WAIT_SPREAD = 0.15
+WAIT_SMOOTHING = 0.15
 # Age from which the request counts reported by a plain service are not used for its wait, in
 # seconds: the duration of a few calls.
-COUNTS_FADE_S = 0.4
+COUNTS_EXPIRY_S = 0.4
 # Age of the reports from which only own calls are counted, in seconds; their number is known
 # without reports.
-COUNTS_OWN_S = 1.0
+OWN_COUNTS_ONLY_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,18 +30,18 @@
 
     Attributes
     ----------
-    step_s, step_slot_s : float
+    step_base_s, step_sequence_s : float
         Time of one decoding step, and additional time per running generation, in seconds.
-    read_token_s : float
+    prefill_token_s : float
         Time to process one prompt token, in seconds.
-    piece_tokens : int
+    prefill_chunk_tokens : int
         Number of prompt tokens that are processed between two decoding steps.
     """
 
-    step_s: float = 0.007
-    step_slot_s: float = 0.000_12
-    read_token_s: float = 1.0 / 14_000.0
-    piece_tokens: int = 112
+    step_base_s: float = 0.007
+    step_sequence_s: float = 0.000_12
+    prefill_token_s: float = 1.0 / 14_000.0
+    prefill_chunk_tokens: int = 112
 
 
 ENGINE_SPEED = EngineSpeed()
@@ -66,12 +66,12 @@
     worst_pause_s: float = 0.0
 
 
-def forecast(option: Option, need: Need, speed: EngineSpeed = ENGINE_SPEED) -> Forecast:
+def forecast(option: ReplicaOption, need: Need, speed: EngineSpeed = ENGINE_SPEED) -> Forecast:
     """Return the expected times of a generation that is sent to a model engine now.
 
     Parameters
     ----------
-    option : Option
+    option : ReplicaOption
         Replica.
     need : Need
         Resources and deadlines of the request.
@@ -80,22 +80,22 @@
 
     Examples
     --------
-    >>> idle = Option("r1", near=True, running=0, slots=24, capacity_tokens=26_000)
+    >>> idle = ReplicaOption("r1", same_zone=True, running=0, slots=24, capacity_tokens=26_000)
     >>> round(forecast(idle, Need(tokens=3700, prompt_tokens=3000)).first_event_s, 2)
     0.41
     """
     pace = option.pace or USUAL
-    step_s = speed.step_s + speed.step_slot_s * (option.running + 1)
-    token_s = speed.read_token_s + step_s / speed.piece_tokens
+    step_s = speed.step_base_s + speed.step_sequence_s * (option.running + 1)
+    token_s = speed.prefill_token_s + step_s / speed.prefill_chunk_tokens
     work_s = (option.unread_tokens + need.prompt_tokens) * token_s + step_s
     if option.running >= option.slots > 0:
         work_s += slot_wait_s(option, step_s)
-    steady = bounded(pace.steady)
-    pause_s = option.tokens_per_event * speed.piece_tokens * token_s * steady
+    steady = bounded_steady(pace.steady)
+    pause_s = option.tokens_per_event * speed.prefill_chunk_tokens * token_s * steady
     return Forecast(work_s * steady * pace.moment, pause_s, pause_s * pace.worst)
 
 
-def bounded(steady: float) -> float:
+def bounded_steady(steady: float) -> float:
     """Return a steady pace within bounds, so that a false report attracts few requests.
 
     Parameters
@@ -103,15 +103,15 @@
     steady : float
         Estimated steady pace.
     """
-    return min(MOST_STEADY, max(LEAST_STEADY, steady))
+    return min(MAX_STEADY, max(MIN_STEADY, steady))
 
 
-def slot_wait_s(option: Option, step_s: float) -> float:
+def slot_wait_s(option: ReplicaOption, step_s: float) -> float:
     """Return how long a request waits for a slot at an engine where all are taken.
 
     Parameters
     ----------
-    option : Option
+    option : ReplicaOption
         Replica.
     step_s : float
         Time of a decoding step, in seconds.
@@ -126,55 +126,55 @@
     return left_s * (option.running + 1 - option.slots) / option.slots
 
 
-def bad_moment_chance(pace: Pace, window_s: float) -> float:
+def slow_phase_probability(pace: Pace, interval_s: float) -> float:
     """Return the probability that a replica is in a slow phase at some time in an interval.
 
     Parameters
     ----------
     pace : Pace
         Estimated pace of the replica.
-    window_s : float
+    interval_s : float
         Length of the interval, which begins now, in seconds.
 
     Examples
     --------
     >>> calm = Pace(worst=2.5, bad_share=0.15, age_s=0.0)
-    >>> round(bad_moment_chance(calm, 0.5), 2), round(bad_moment_chance(Pace(), 0.5), 2)
+    >>> round(slow_phase_probability(calm, 0.5), 2), round(slow_phase_probability(Pace(), 0.5), 2)
     (0.18, 0.0)
     """
     share = min(pace.bad_share, 0.9)
     # The older the newest observation, the less it tells about the present phase.
-    fresh = max(0.0, 1.0 - pace.age_s / BAD_MOMENT_S)
+    fresh = max(0.0, 1.0 - pace.age_s / SLOW_PHASE_S)
     now = fresh * (pace.moment >= BAD_FROM) + (1.0 - fresh) * share
-    begins = window_s * share / ((1.0 - share) * BAD_MOMENT_S)
+    begins = interval_s * share / ((1.0 - share) * SLOW_PHASE_S)
     return now + (1.0 - now) * min(1.0, begins)
 
 
-def plain_time(option: Option) -> float:
+def plain_call_time(option: ReplicaOption) -> float:
     """Return the expected time of a plain call, as a multiple of its nominal duration.
 
     Parameters
     ----------
-    option : Option
+    option : ReplicaOption
         Replica.
 
     Examples
     --------
-    >>> full = Option("r1", near=True, running=6, slots=6, pace=Pace(age_s=0.0))
-    >>> round(plain_time(full), 2)
+    >>> full = ReplicaOption("r1", same_zone=True, running=6, slots=6, pace=Pace(age_s=0.0))
+    >>> round(plain_call_time(full), 2)
     1.29
     """
     pace = option.pace or USUAL
     slots = max(1, option.slots)
-    known = 1.0 if pace.age_s > COUNTS_OWN_S else max(0.0, 1.0 - pace.age_s / COUNTS_FADE_S)
-    wait = known * _place_wait(option.running, slots)
+    known = 1.0 if pace.age_s > OWN_COUNTS_ONLY_S else max(0.0, 1.0 - pace.age_s / COUNTS_EXPIRY_S)
+    wait = known * _slot_wait(option.running, slots)
     if known < 1.0 and option.own_running:
         # A replica that has stopped answering must not appear idle.
-        wait = max(wait, _place_wait(option.own_running, slots))
-    return (1.0 + wait) * bounded(pace.steady) * pace.moment
+        wait = max(wait, _slot_wait(option.own_running, slots))
+    return (1.0 + wait) * bounded_steady(pace.steady) * pace.moment
 
 
-def _place_wait(running: int, slots: int) -> float:
+def _slot_wait(running: int, slots: int) -> float:
     """Return the wait for a slot, as a multiple of a call's nominal duration."""
     excess = (running + 1) / slots - 1.0
-    return float(0.5 * (excess + (excess * excess + WAIT_SPREAD) ** 0.5))
+    return float(0.5 * (excess + (excess * excess + WAIT_SMOOTHING) ** 0.5))
--- a/reachlink/scheduling/_burden.py
+++ b/reachlink/scheduling/_load.py
@@ -1,23 +1,23 @@
 """Load of a replica with one more request; free of I/O and clocks."""
 
-from reachlink.scheduling._option import Option
+from reachlink.scheduling._replica_option import ReplicaOption
 
-# Pending prompts of this many tokens add 1 to the load, as much as the whole memory: they
-# delay everything that comes after them.
-UNREAD_TOKENS = 6000.0
+# Unread prompts of this many tokens add 1 to the load, as much as the whole memory: they delay
+# everything that comes after them.
+UNREAD_TOKENS_PER_LOAD = 6000.0
 
 
-def burden(option: Option, need_tokens: int, copies: bool = True) -> float:
+def load_with_request(option: ReplicaOption, need_tokens: int, copies: bool = True) -> float:
     """Return the load of an engine with one more request.
 
     Parameters
     ----------
-    option : Option
+    option : ReplicaOption
         Replica.
     need_tokens : int
         Memory that the request needs at its end, in tokens.
     copies : bool
-        Whether copies count, which are dropped on demand.
+        Whether evictable copies count.
 
     Returns
     -------
@@ -31,4 +31,4 @@
     if copies:
         taken += option.copy_tokens
     load = max(taken / capacity, option.running / (option.slots or 1))
-    return load + option.unread_tokens / UNREAD_TOKENS
+    return load + option.unread_tokens / UNREAD_TOKENS_PER_LOAD
--- a/reachlink/scheduling/_need.py
+++ b/reachlink/scheduling/_need.py
@@ -15,12 +15,12 @@
         Memory that the generation likely takes at its end, in tokens; 0 for a plain call.
     prompt_tokens : int
         Length of the prompt, which is processed first, in tokens.
-    first_by_s : float
+    first_event_due_in_s : float
         Time until the first event, or the answer of a plain call, is late, in seconds;
         negative if the request is late already.
     give_up_in_s : float
         Time until the caller disconnects, in seconds.
-    longest_pause_s : float
+    max_pause_s : float
         Longest pause between events that is in time, in seconds; 0 if pauses are not limited.
     priority : int
         Priority; 0 is the most urgent.
@@ -28,19 +28,19 @@
         Workspace of the request; empty if none.
     waited_s : float
         Time that the caller has waited, including refused attempts, in seconds.
-    returner : bool
+    is_announced_retry : bool
         Whether the caller retries at the time given in an earlier refusal.
     """
 
     tokens: int = 0
     prompt_tokens: int = 0
-    first_by_s: float = float("inf")
+    first_event_due_in_s: float = float("inf")
     give_up_in_s: float = float("inf")
-    longest_pause_s: float = 0.0
+    max_pause_s: float = 0.0
     priority: int = 5
     workspace: str = ""
     waited_s: float = 0.0
-    returner: bool = False
+    is_announced_retry: bool = False
 
     @property
     def output_tokens(self) -> int:
--- a/reachlink/scheduling/_refusal.py
+++ b/reachlink/scheduling/_refusal.py
@@ -78,7 +78,7 @@
     if line.granted_tokens_per_s <= 0.0:
         return DEFAULT_WAIT_S
     wait_s = (line.ahead_tokens + need.tokens) / line.granted_tokens_per_s
-    if not need.returner:
+    if not need.is_announced_retry:
         # Retries take at most their reserved share of the capacity.
         all_told_s = line.reserved_tokens / line.granted_tokens_per_s
         wait_s = min(wait_s + all_told_s, wait_s / (1.0 - RESERVED_SHARE))
@@ -106,8 +106,8 @@
     wait_s = expected_wait_s(need, line)
     if wait_s >= latest_start_s(need):
         return make_refusal(need, line, RefusalReason.NO_ROOM, random)
-    crowded = wait_s >= OVERLOAD_SHARE * need.first_by_s
-    if line.over_share and crowded and not need.returner:
+    crowded = wait_s >= OVERLOAD_SHARE * need.first_event_due_in_s
+    if line.over_share and crowded and not need.is_announced_retry:
         return make_refusal(need, line, RefusalReason.OVER_SHARE, random)
     return None
 
--- a/reachlink/scheduling/_option.py
+++ b/reachlink/scheduling/_replica_option.py
@@ -8,14 +8,14 @@
 # Never modified, but not frozen: each decision creates one per replica, and creating an
 # unfrozen instance takes a quarter of the time.
 @dataclass(slots=True)
-class Option:
+class ReplicaOption:
     """State of a replica that is a candidate for a request.
 
     Attributes
     ----------
     name : str
         Name of the replica.
-    near : bool
+    same_zone : bool
         Whether it is in this instance's zone.
     running : int
         Estimated number of requests at the replica.
@@ -26,21 +26,20 @@
     used_tokens : int
         Memory that its requests use now, in tokens.
     copy_tokens : int
-        Memory of copies, which are dropped on demand, in tokens.
-    arriving : int
-        Number of copies in transfer to it.
+        Memory of evictable copies, in tokens.
+    pending_transfers : int
+        Number of pending transfers of copies to it.
     unread_tokens : int
-        Length of the prompts that it still has to process, in tokens.
+        Length of the prompts that it has not read yet, in tokens.
     capacity_tokens : int
         Memory of the replica, in tokens; 0 for a plain service.
-    trust : float
-        Probability with which the replica is considered for a request, from 0 to 1; below 1
-        while it recovers from failures.
+    allowance : float
+        Share of its usual load that it may get, from 0 to 1; below 1 while it recovers from
+        failures. It is the probability with which a request considers the replica.
     reported_tokens : int
         Memory in use according to the replica's own report, in tokens; for logs only.
-    joins_in_s : float, optional
-        Time until a generation from a leaving replica is expected to continue here, in
-        seconds.
+    resumes_in_s : float, optional
+        Time until a generation from a leaving replica is expected to resume here, in seconds.
     pace : Pace, optional
         Speed of the replica; None if it is not used.
     tokens_per_event : int
@@ -51,18 +50,18 @@
     """
 
     name: str
-    near: bool
+    same_zone: bool
     running: int
     slots: int
     tokens: int = 0
     unread_tokens: int = 0
     capacity_tokens: int = 0
-    trust: float = 1.0
+    allowance: float = 1.0
     used_tokens: int = 0
     copy_tokens: int = 0
-    arriving: int = 0
+    pending_transfers: int = 0
     reported_tokens: int = 0
-    joins_in_s: float | None = None
+    resumes_in_s: float | None = None
     pace: Pace | None = None
     tokens_per_event: int = 1
     own_running: int = 0
--- a/reachlink/scheduling/_request_queue.py
+++ b/reachlink/scheduling/_request_queue.py
@@ -30,7 +30,7 @@
 
 from msgspec import structs
 
-from reachlink.scheduling._duration import latest_start_s, reading_s
+from reachlink.scheduling._duration import latest_start_s, prefill_s
 from reachlink.scheduling._grant_rate import GrantRate
 from reachlink.scheduling._need import Need
 from reachlink.scheduling._queue_state import QueueState
@@ -87,7 +87,7 @@
 
     def __post_init__(self) -> None:
         need = self.need
-        self._in_time_until = self.joined_at + need.first_by_s - reading_s(need)
+        self._in_time_until = self.joined_at + need.first_event_due_in_s - prefill_s(need)
         self._give_up_at = self.joined_at + latest_start_s(need)
 
     @property
@@ -110,7 +110,7 @@
         need, passed_s = self.need, now - self.joined_at
         return structs.replace(
             need,
-            first_by_s=need.first_by_s - passed_s,
+            first_event_due_in_s=need.first_event_due_in_s - passed_s,
             give_up_in_s=need.give_up_in_s - passed_s,
             waited_s=need.waited_s + passed_s,
         )
--- a/reachlink/scheduling/_rhythm.py
+++ b/reachlink/scheduling/_rhythm.py
@@ -18,7 +18,7 @@
     speed : EngineSpeed
         Durations of work at such an engine.
     """
-    return max(1, tokens_per_event) * (speed.step_s + speed.step_slot_s * running)
+    return max(1, tokens_per_event) * (speed.step_base_s + speed.step_sequence_s * running)
 
 
 class StreamRhythm:
--- a/reachlink/scheduling/_start.py
+++ b/reachlink/scheduling/_start.py
@@ -9,12 +9,12 @@
 
 import msgspec
 
-from reachlink.scheduling._choice import choose
+from reachlink.scheduling._choice import choose_replica
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._option import Option
+from reachlink.scheduling._placement_rules import REQUEST_RULES, PlacementRules
 from reachlink.scheduling._queue_state import EMPTY_QUEUE, QueueState
 from reachlink.scheduling._refusal import Refuse, expected_wait_s, refusal_if_needed
-from reachlink.scheduling._terms import REQUEST, Terms
+from reachlink.scheduling._replica_option import ReplicaOption
 
 
 class Begin(msgspec.Struct, array_like=True, frozen=True, tag=0):
@@ -49,17 +49,17 @@
 
 
 def best_start(
-    options: Sequence[Option],
+    options: Sequence[ReplicaOption],
     need: Need,
     random: Random,
     line: QueueState = EMPTY_QUEUE,
-    terms: Terms = REQUEST,
+    rules: PlacementRules = REQUEST_RULES,
 ) -> Start:
     """Return where and when a request starts, or its refusal.
 
     Parameters
     ----------
-    options : sequence of Option
+    options : sequence of ReplicaOption
         Candidate replicas.
     need : Need
         Resources and deadlines of the request.
@@ -67,10 +67,10 @@
         Source of random numbers for drawing and for breaking ties.
     line : QueueState
         State of the queue ahead of the request.
-    terms : Terms
+    rules : PlacementRules
         Rules by which the memory of engines is given.
     """
-    name = choose(options, need.tokens, random, terms, need)
+    name = choose_replica(options, need.tokens, random, rules, need)
     if name is not None and not line.ahead:
         return Begin(name)
     # While a replica has capacity, waiting requests start soon, this one among them.
--- a/reachlink/scheduling/tests/calls.py
+++ b/reachlink/scheduling/tests/calls.py
@@ -4,7 +4,7 @@
 from heapq import heappop, heappush
 from random import Random
 
-from reachlink.scheduling import Need, Option, Pace
+from reachlink.scheduling import Need, Pace, ReplicaOption
 from reachlink.scheduling.tests.fleet import Way, aged
 
 SLOTS, WORK_S, CALLS_PER_S, NEWS_S = 6, 0.1, 120.0, 0.01
@@ -37,7 +37,7 @@
         # When each slot is free, and when each call ends, by replica.
         free = [[0.0] * SLOTS for _ in self.counts]
         ends: list[list[float]] = [[] for _ in self.counts]
-        news: list[list[Option]] = []
+        news: list[list[ReplicaOption]] = []
         sent: list[list[tuple[float, int]]] = [[] for _ in range(self.deciders)]
         now = 0.0
         while now < self.length_s:
@@ -80,13 +80,17 @@
         steady = SLOW if self.uneven and replica == 0 else 1.0
         return steady * self._moment(turns, now)
 
-    def _option(self, replica: int, ends: list[float], turns: list[float], now: float) -> Option:
+    def _option(
+        self, replica: int, ends: list[float], turns: list[float], now: float
+    ) -> ReplicaOption:
         ends[:] = [at for at in ends if at > now]
         steady = SLOW if self.uneven and replica == 0 else 1.0
         pace = Pace(self.told.get(replica, steady), self._moment(turns, now), SLOW, BAD_SHARE, 0.0)
-        return Option(str(replica), True, len(ends), SLOTS, pace=pace)
+        return ReplicaOption(str(replica), True, len(ends), SLOTS, pace=pace)
 
-    def _seen(self, news: list[Option], own: list[tuple[float, int]], age_s: float) -> list[Option]:
+    def _seen(
+        self, news: list[ReplicaOption], own: list[tuple[float, int]], age_s: float
+    ) -> list[ReplicaOption]:
         counts = [sum(replica == n for _, replica in own) for n in range(self.replicas)]
         return [
             replace(o, running=o.running + count, pace=aged(o.pace or Pace(), age_s))
--- a/reachlink/scheduling/tests/crowd.py
+++ b/reachlink/scheduling/tests/crowd.py
@@ -7,16 +7,16 @@
 from typing import Protocol
 
 from reachlink.scheduling import (
-    IN_LINE,
+    QUEUED_RULES,
     Begin,
     Need,
-    Option,
+    PlacementRules,
     RefusalReason,
+    ReplicaOption,
     RequestQueue,
-    Terms,
     Wait,
     best_start,
-    choose,
+    choose_replica,
     expected_wait_s,
 )
 
@@ -83,7 +83,7 @@
         return Need(
             tokens=self.tokens,
             prompt_tokens=self.kind.prompt_tokens,
-            first_by_s=self.at + self.kind.aim_s - now,
+            first_event_due_in_s=self.at + self.kind.aim_s - now,
             give_up_in_s=self.at + self.kind.deadline_s - now,
             priority=self.kind.priority,
             workspace=self.workspace,
@@ -124,12 +124,12 @@
     def used_tokens(self) -> float:
         return sum(a.kind.prompt_tokens + a.made for a in self.inside)
 
-    def option(self, name: str) -> Option:
+    def option(self, name: str) -> ReplicaOption:
         there = self.all
         promised = sum(a.kind.prompt_tokens + max(a.guess, a.made) for a in there)
-        return Option(
+        return ReplicaOption(
             name,
-            near=True,
+            same_zone=True,
             running=len(there),
             slots=SLOTS,
             tokens=round(promised),
@@ -210,7 +210,7 @@
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
         # What is known of each engine in this tick.
-        self._known: dict[int, Option] = {}
+        self._known: dict[int, ReplicaOption] = {}
 
     def play(self) -> "Crowd":
         for tick in range(int(LENGTH_S / TICK_S)):
@@ -221,7 +221,7 @@
             self._known.clear()
         return self
 
-    def options(self) -> list[Option]:
+    def options(self) -> list[ReplicaOption]:
         for number, engine in enumerate(self.engines):
             if number not in self._known:
                 self._known[number] = engine.option(str(number))
@@ -287,7 +287,7 @@
         crowd.random.shuffle(self.waiting)
         left = []
         for asked in self.waiting:
-            name = choose(crowd.options(), asked.tokens, crowd.random)
+            name = choose_replica(crowd.options(), asked.tokens, crowd.random)
             if name is not None:
                 crowd.begin(asked, name)
             elif crowd.now - self.since[asked.number] > WAIT_SHARE * asked.kind.aim_s:
@@ -323,7 +323,7 @@
     def look(self, crowd: Crowd) -> None:
         while self.waiting:
             asked = self.waiting[0]
-            name = choose(crowd.options(), asked.tokens, crowd.random)
+            name = choose_replica(crowd.options(), asked.tokens, crowd.random)
             over = crowd.now > asked.at + asked.kind.deadline_s - asked.kind.holds_s
             if name is None and not over:
                 return
@@ -339,7 +339,7 @@
 class InLine:
     """The product's line, as its owner keeps it."""
 
-    terms: Terms = IN_LINE
+    rules: PlacementRules = QUEUED_RULES
     # Whether who asks for more than its share is refused first.
     by_shares: bool = True
     line: RequestQueue = field(default_factory=RequestQueue)
@@ -351,7 +351,7 @@
     def arrive(self, asked: Asked, crowd: Crowd) -> None:
         now = crowd.now
         if not len(self.line):
-            name = choose(crowd.options(), asked.tokens, crowd.random, self.terms)
+            name = choose_replica(crowd.options(), asked.tokens, crowd.random, self.rules)
             if name is not None:
                 self.line.record_immediate_start(asked.need(now), now)
                 crowd.begin(asked, name)
@@ -367,10 +367,12 @@
         state = self.line.state_ahead_of(waiting, now)
         if not self.by_shares:
             state = replace(state, over_share=False)
-        start = best_start(crowd.options(), waiting.need_at(now), crowd.random, state, self.terms)
+        start = best_start(crowd.options(), waiting.need_at(now), crowd.random, state, self.rules)
         if not isinstance(start, Wait | Begin):
             self.line.leave(asked.name, now)
-            free = choose(crowd.options(), asked.tokens, crowd.random, self.terms) is not None
+            free = (
+                choose_replica(crowd.options(), asked.tokens, crowd.random, self.rules) is not None
+            )
             self.refused[start.reason, asked.workspace, free] += 1
             crowd.refuse(self.waiting.pop(asked.name), start.retry_after_s)
 
@@ -388,7 +390,7 @@
             name = None
             if waiting.need.tokens < least:
                 self.looked_at += 1
-                name = choose(options, waiting.need.tokens, crowd.random, self.terms)
+                name = choose_replica(options, waiting.need.tokens, crowd.random, self.rules)
             if name is not None:
                 if passed is not None:
                     passed.record_overtaken(crowd.now)
--- a/reachlink/scheduling/tests/fleet.py
+++ b/reachlink/scheduling/tests/fleet.py
@@ -7,7 +7,7 @@
 from math import pi, sin
 from random import Random
 
-from reachlink.scheduling import ENGINE_SPEED, Begin, Need, Option, Pace, best_start
+from reachlink.scheduling import ENGINE_SPEED, Begin, Need, Pace, ReplicaOption, best_start
 
 CAPACITY_TOKENS, SLOTS, TOKENS_PER_EVENT = 26_900, 24, 4
 QUICK, SLOW, QUICK_SHARE = 0.55, 1.2, 0.25
@@ -50,7 +50,7 @@
         return Need(
             tokens=self.kind.prompt + self.guess,
             prompt_tokens=self.kind.prompt,
-            longest_pause_s=PAUSE_S,
+            max_pause_s=PAUSE_S,
         )
 
 
@@ -69,14 +69,14 @@
     def moment(self, now: float) -> float:
         return WORST if bisect_right(self.turns, now) % 2 else 1.0
 
-    def option(self, now: float) -> Option:
+    def option(self, now: float) -> ReplicaOption:
         tokens = sum(s.kind.prompt + max(s.guess, s.made) for s in self.streams)
         used = sum(s.kind.prompt + s.made for s in self.streams)
         pace = Pace(self.told or self.steady, self.moment(now), WORST, BAD_SHARE)
         unread = sum(s.unread for s in self.streams)
-        return Option(
+        return ReplicaOption(
             self.name,
-            near=True,
+            same_zone=True,
             running=len(self.streams),
             slots=SLOTS,
             tokens=tokens,
@@ -89,8 +89,8 @@
 
     def step_s(self, now: float) -> float:
         reading = any(s.unread for s in self.streams)
-        work_s = ENGINE_SPEED.step_s + ENGINE_SPEED.step_slot_s * len(self.streams)
-        work_s += ENGINE_SPEED.piece_tokens * ENGINE_SPEED.read_token_s * reading
+        work_s = ENGINE_SPEED.step_base_s + ENGINE_SPEED.step_sequence_s * len(self.streams)
+        work_s += ENGINE_SPEED.prefill_chunk_tokens * ENGINE_SPEED.prefill_token_s * reading
         return work_s * self.steady * self.moment(now)
 
     def end_step(self, now: float) -> None:
@@ -104,11 +104,11 @@
                 stream.in_time &= now - since <= bound_s
                 stream.last_event = now
         if reader is not None:
-            reader.unread = max(0, reader.unread - ENGINE_SPEED.piece_tokens)
+            reader.unread = max(0, reader.unread - ENGINE_SPEED.prefill_chunk_tokens)
         self.streams = [s for s in self.streams if s.made < s.kind.output]
 
 
-Way = Callable[[list[Option], Need, Random], str | None]
+Way = Callable[[list[ReplicaOption], Need, Random], str | None]
 
 
 @dataclass
@@ -133,7 +133,7 @@
         self._random = Random(self.seed)
         self._engines = [self._engine(n) for n in range(self.engines)]
         self._events: list[tuple[float, int, Callable[[float], None]]] = []
-        self._news: list[list[Option]] = []
+        self._news: list[list[ReplicaOption]] = []
         self._sent: list[list[tuple[float, Stream]]] = [[] for _ in range(self.deciders)]
 
     def play(self) -> "Fleet":
@@ -200,7 +200,7 @@
         else:
             stream.in_time = False
 
-    def _options(self, decider: int, zone: int, now: float) -> list[Option]:
+    def _options(self, decider: int, zone: int, now: float) -> list[ReplicaOption]:
         """Return what a decider knows: old news, and what it has sent since."""
         then = max(0.0, now - self.age_s)
         options = list(self._news[min(int(then / NEWS_S), len(self._news) - 1)])
@@ -208,7 +208,7 @@
         for _, stream in sent:
             options[stream.replica] = with_sent(options[stream.replica], stream)
         return [
-            replace(o, near=e.zone == zone, pace=aged(o.pace or Pace(), now - then))
+            replace(o, same_zone=e.zone == zone, pace=aged(o.pace or Pace(), now - then))
             for o, e in zip(options, self._engines, strict=True)
         ]
 
@@ -237,10 +237,10 @@
 
 def replace_need(need: Need, left_s: float) -> Need:
     """Return a need with the time that is left until the first event is late, in seconds."""
-    return Need(need.tokens, need.prompt_tokens, left_s, longest_pause_s=need.longest_pause_s)
+    return Need(need.tokens, need.prompt_tokens, left_s, max_pause_s=need.max_pause_s)
 
 
-def with_sent(option: Option, stream: Stream) -> Option:
+def with_sent(option: ReplicaOption, stream: Stream) -> ReplicaOption:
     """Return what is known of a replica with one more request that was sent there."""
     need = stream.need
     return replace(
@@ -252,24 +252,24 @@
     )
 
 
-def by_time(options: list[Option], need: Need, random: Random) -> str | None:
+def by_time(options: list[ReplicaOption], need: Need, random: Random) -> str | None:
     """Return where the one answer says that a request begins."""
     start = best_start(options, need, random)
     return start.replica if isinstance(start, Begin) else None
 
 
-def as_it_stands(options: list[Option], need: Need, random: Random) -> str | None:
+def as_it_stands(options: list[ReplicaOption], need: Need, random: Random) -> str | None:
     """Return where a request begins where nothing is known of any pace."""
     return by_time([replace(o, pace=None) for o in options], need, random)
 
 
-def two_choices(options: list[Option], need: Need, random: Random) -> str | None:
+def two_choices(options: list[ReplicaOption], need: Need, random: Random) -> str | None:
     """Return the one of two with room, drawn at random, whose load is less by its pace."""
     room = [o for o in options if o.tokens + need.tokens <= 1.05 * o.capacity_tokens]
     drawn = random.sample(room, min(2, len(room)))
     return min(drawn, key=_paced_load).name if drawn else None
 
 
-def _paced_load(option: Option) -> float:
+def _paced_load(option: ReplicaOption) -> float:
     pace = option.pace or Pace()
     return (option.running + 1) * pace.steady * pace.moment
--- a/reachlink/scheduling/tests/test_line.py
+++ b/reachlink/scheduling/tests/test_line.py
@@ -10,7 +10,7 @@
 from reachlink.scheduling._shares import MAX_WORKSPACES, WorkspaceShares
 
 LEASE_S = 10.0
-USUAL = Need(tokens=4000, prompt_tokens=3000, first_by_s=4.0, give_up_in_s=39.0)
+USUAL = Need(tokens=4000, prompt_tokens=3000, first_event_due_in_s=4.0, give_up_in_s=39.0)
 
 
 def join(line: RequestQueue, name: str, now: float = 0.0, **changes: object) -> None:
@@ -40,21 +40,21 @@
 def test_who_comes_back_counts_with_the_age_of_its_tries():
     line = RequestQueue()
     join(line, "new", 0.0)
-    join(line, "back", 0.1, waited_s=3.0, returner=True)
+    join(line, "back", 0.1, waited_s=3.0, is_announced_retry=True)
     assert names(line, 0.2) == ["back", "new"]
 
 
 def test_who_can_still_be_in_time_goes_before_who_can_only_be_late():
     line = RequestQueue()
-    join(line, "late", 0.0, first_by_s=-1.0, priority=0)
+    join(line, "late", 0.0, first_event_due_in_s=-1.0, priority=0)
     join(line, "in time", 0.1)
     assert names(line, 0.2) == ["in time", "late"]
 
 
 def test_one_whose_prompt_takes_longer_to_read_than_it_has_can_only_be_late():
     line = RequestQueue()
-    join(line, "long prompt", 0.0, first_by_s=0.3)
-    join(line, "short prompt", 0.1, first_by_s=0.3, prompt_tokens=100)
+    join(line, "long prompt", 0.0, first_event_due_in_s=0.3)
+    join(line, "short prompt", 0.1, first_event_due_in_s=0.3, prompt_tokens=100)
     assert names(line, 0.1) == ["short prompt", "long prompt"]
 
 
@@ -155,8 +155,8 @@
 
 def test_a_line_too_long_loses_the_youngest_of_the_late_first():
     line = RequestQueue(max_waiting=3)
-    join(line, "late old", 0.0, first_by_s=-1.0)
-    join(line, "late young", 0.1, first_by_s=-1.0)
+    join(line, "late old", 0.0, first_event_due_in_s=-1.0)
+    join(line, "late young", 0.1, first_event_due_in_s=-1.0)
     join(line, "usual", 0.2)
     assert line.shed(0.2) is None
     join(line, "newest", 0.3)
@@ -214,8 +214,8 @@
 
 def test_how_long_a_request_waits_is_told_by_what_goes_first_and_how_fast_room_comes():
     line = RequestQueue()
-    drained(line, 10, first_by_s=100.0)
-    join(line, "id-1", 5.0, first_by_s=100.0)
+    drained(line, 10, first_event_due_in_s=100.0)
+    join(line, "id-1", 5.0, first_event_due_in_s=100.0)
     state = line.state_ahead_of(line.find("id-1"), 5.0)
     assert (state.ahead, state.ahead_tokens) == (1, 4000)
     assert state.granted_tokens_per_s == pytest.approx(40_000, rel=0.1)
@@ -223,20 +223,20 @@
 
 def test_the_less_urgent_are_told_by_what_their_own_have_got():
     line = RequestQueue()
-    join(line, "usual", 0.0, first_by_s=100.0)
+    join(line, "usual", 0.0, first_event_due_in_s=100.0)
     drained(line, 10, priority=1)
-    join(line, "id-1", 5.0, first_by_s=100.0)
+    join(line, "id-1", 5.0, first_event_due_in_s=100.0)
     state = line.state_ahead_of(line.find("id-1"), 5.0)
     assert state.granted_tokens_per_s < 2000
 
 
 def test_who_would_begin_late_is_told_by_what_late_ones_have_got():
     line = RequestQueue()
-    join(line, "late", 0.0, first_by_s=-1.0)
+    join(line, "late", 0.0, first_event_due_in_s=-1.0)
     for number in range(60):
-        join(line, f"waits-{number}", 0.0, first_by_s=100.0)
-    drained(line, 2, first_by_s=100.0)
-    join(line, "id-1", 5.0, first_by_s=4.0)
+        join(line, f"waits-{number}", 0.0, first_event_due_in_s=100.0)
+    drained(line, 2, first_event_due_in_s=100.0)
+    join(line, "id-1", 5.0, first_event_due_in_s=4.0)
     state = line.state_ahead_of(line.find("id-1"), 5.0)
     assert state.granted_tokens_per_s < 2000
     # It becomes late first, and those before it that will be late go before it then.
@@ -268,14 +268,14 @@
 def test_how_fast_room_came_in_a_crowd_long_ago_says_nothing_of_this_one():
     line = RequestQueue()
     for number in range(5):
-        join(line, f"stuck-{number}", 0.0, first_by_s=100.0)
+        join(line, f"stuck-{number}", 0.0, first_event_due_in_s=100.0)
     for tenth in range(60):
         line.expire(tenth / 10.0)
     for number in range(5):
         line.leave(f"stuck-{number}", 6.0)
     line.expire(6.0)
     for number in range(10):
-        join(line, f"waits-{number}", 600.0, first_by_s=100.0)
+        join(line, f"waits-{number}", 600.0, first_event_due_in_s=100.0)
         line.expire(600.0)
     state = line.state_ahead_of(line.find("waits-9"), 600.0)
     assert isinstance(best_start([], USUAL, Random(1), state), Wait)
@@ -283,20 +283,20 @@
 
 def test_a_crowd_that_pauses_for_a_moment_is_still_known():
     line = RequestQueue()
-    drained(line, 10, first_by_s=100.0)
+    drained(line, 10, first_event_due_in_s=100.0)
     line.leave("last", 5.0)
     line.expire(5.0)
-    join(line, "id-1", 5.5, first_by_s=100.0)
+    join(line, "id-1", 5.5, first_event_due_in_s=100.0)
     state = line.state_ahead_of(line.find("id-1"), 5.5)
     assert state.granted_tokens_per_s == pytest.approx(40_000, rel=0.15)
 
 
 def test_who_asks_for_more_than_its_share_of_what_comes_is_known():
     line = RequestQueue()
-    drained(line, 1, workspace="other", first_by_s=100.0)
+    drained(line, 1, workspace="other", first_event_due_in_s=100.0)
     for number in range(30):
-        join(line, f"large-{number}", 5.0, workspace="large", first_by_s=100.0)
-    join(line, "small", 5.0, workspace="small", first_by_s=100.0)
+        join(line, f"large-{number}", 5.0, workspace="large", first_event_due_in_s=100.0)
+    join(line, "small", 5.0, workspace="small", first_event_due_in_s=100.0)
     large, small = (line.find(name) for name in ("large-29", "small"))
     assert line.state_ahead_of(large, 5.2).over_share
     assert not line.state_ahead_of(small, 5.2).over_share
@@ -335,7 +335,13 @@
         now = number * 0.01
         name = f"id-{random.randrange(200)}"
         if random.random() < 0.6:
-            join(line, name, now, priority=random.randrange(3), first_by_s=random.uniform(-1, 2))
+            join(
+                line,
+                name,
+                now,
+                priority=random.randrange(3),
+                first_event_due_in_s=random.uniform(-1, 2),
+            )
             there.add(name)
             shed = line.shed(now)
             if shed is not None:
--- a/reachlink/scheduling/tests/test_loss.py
+++ b/reachlink/scheduling/tests/test_loss.py
@@ -4,21 +4,29 @@
 
 import pytest
 
-from reachlink.scheduling import RESCUE, Begin, Need, Option, Pace, best_start, choose
+from reachlink.scheduling import (
+    DEPARTURE_COPY_RULES,
+    Begin,
+    Need,
+    Pace,
+    ReplicaOption,
+    best_start,
+    choose_replica,
+)
 
 QUICK = Pace(steady=0.55, worst=2.5, bad_share=0.15, age_s=0.0)
 SLOW = Pace(steady=1.2, worst=2.5, bad_share=0.15, age_s=0.0)
 SLOW_NOW = Pace(steady=1.2, moment=2.5, worst=2.5, bad_share=0.15, age_s=0.0)
 USUAL_NOW = Pace(age_s=0.0)
-DRAFT = Need(3827, 3079, first_by_s=1.8, longest_pause_s=0.18)
-CHECK = Need(2558, 2550, first_by_s=1.5, longest_pause_s=0.18)
+DRAFT = Need(3827, 3079, first_event_due_in_s=1.8, max_pause_s=0.18)
+CHECK = Need(2558, 2550, first_event_due_in_s=1.5, max_pause_s=0.18)
 
 
 def engine(
     name: str, pace: Pace | None, drafts: int = 0, near: bool = True, unread: int = 0
-) -> Option:
+) -> ReplicaOption:
     """Return an engine with drafts that are halfway through."""
-    return Option(
+    return ReplicaOption(
         name,
         near,
         drafts,
@@ -32,7 +40,7 @@
     )
 
 
-def best(need: Need, *options: Option) -> str:
+def best(need: Need, *options: ReplicaOption) -> str:
     start = best_start(options, need, Random(1))
     assert isinstance(start, Begin)
     return start.replica
@@ -89,22 +97,22 @@
 
 
 def test_a_generation_that_moves_prefers_the_quick():
-    need = Need(tokens=3453, longest_pause_s=0.18)
+    need = Need(tokens=3453, max_pause_s=0.18)
     options = [engine("slow", SLOW), engine("quick", QUICK, drafts=4)]
-    assert choose(options, need.tokens, Random(1), RESCUE, need) == "quick"
+    assert choose_replica(options, need.tokens, Random(1), DEPARTURE_COPY_RULES, need) == "quick"
 
 
 def test_it_does_not_join_beside_a_reading_where_a_pause_would_be_too_long():
-    need = Need(tokens=3453, longest_pause_s=0.18)
+    need = Need(tokens=3453, max_pause_s=0.18)
     options = [engine("reads", SLOW_NOW, unread=5000), engine("rests", SLOW_NOW)]
-    assert choose(options, need.tokens, Random(1), RESCUE, need) == "rests"
+    assert choose_replica(options, need.tokens, Random(1), DEPARTURE_COPY_RULES, need) == "rests"
 
 
 @pytest.mark.parametrize("need", [DRAFT, CHECK])
 def test_those_that_are_alike_share_what_comes(need):
     options = [engine(str(n), QUICK, drafts=1) for n in range(10)]
     random = Random(5)
-    names = [choose(options, need.tokens, random, need=need) for _ in range(500)]
+    names = [choose_replica(options, need.tokens, random, need=need) for _ in range(500)]
     assert all(25 <= names.count(o.name) <= 90 for o in options)
 
 
@@ -112,12 +120,12 @@
 def test_replicas_of_unknown_pace_are_chosen_as_without_a_need(need):
     options = [engine(str(n), None, drafts=n % 4, unread=700 * n) for n in range(10)]
     for seed in range(20):
-        with_need = choose(options, need.tokens, Random(seed), need=need)
-        assert with_need == choose(options, need.tokens, Random(seed))
+        with_need = choose_replica(options, need.tokens, Random(seed), need=need)
+        assert with_need == choose_replica(options, need.tokens, Random(seed))
 
 
-def plain(name: str, running: int, pace: Pace, near: bool = True) -> Option:
-    return Option(name, near, running, 6, pace=pace)
+def plain(name: str, running: int, pace: Pace, near: bool = True) -> ReplicaOption:
+    return ReplicaOption(name, near, running, 6, pace=pace)
 
 
 def test_a_call_goes_where_its_answer_is_expected_first():
@@ -137,6 +145,6 @@
 def test_counts_of_a_moment_ago_say_nothing_and_own_calls_always_count():
     old, silent = Pace(age_s=0.5), Pace(age_s=3.0)
     options, random = [plain("a", 6, old), plain("b", 0, old)], Random(1)
-    choices = [choose(options, 0, random, need=Need()) for _ in range(200)]
+    choices = [choose_replica(options, 0, random, need=Need()) for _ in range(200)]
     assert 60 <= choices.count("a") <= 140
     assert best(Need(), plain("a", 30, silent), plain("b", 0, silent)) == "b"
--- a/reachlink/scheduling/tests/test_refusal.py
+++ b/reachlink/scheduling/tests/test_refusal.py
@@ -19,7 +19,7 @@
 from reachlink.scheduling import _refusal as rules
 
 DRAIN = 20_000.0
-NEED = Need(tokens=2000, prompt_tokens=1000, first_by_s=4.0, give_up_in_s=39.0)
+NEED = Need(tokens=2000, prompt_tokens=1000, first_event_due_in_s=4.0, give_up_in_s=39.0)
 
 
 def line(wait_s: float, told_tokens: int = 0, over_share: bool = False) -> QueueState:
@@ -52,7 +52,7 @@
 
 
 def test_a_workspace_over_its_share_is_refused_first():
-    crowded_s = rules.OVERLOAD_SHARE * NEED.first_by_s
+    crowded_s = rules.OVERLOAD_SHARE * NEED.first_event_due_in_s
     assert refusal_if_needed(NEED, line(crowded_s - 0.1, over_share=True), Random(1)) is None
     refused = refusal_if_needed(NEED, line(crowded_s + 0.1, over_share=True), Random(1))
     assert refused.reason is RefusalReason.OVER_SHARE
@@ -62,7 +62,7 @@
 
 
 def test_who_has_come_back_is_not_refused_for_its_workspace_again():
-    returner = changed(returner=True)
+    returner = changed(is_announced_retry=True)
     assert refusal_if_needed(returner, line(5.0, over_share=True), Random(1)) is None
 
 
@@ -71,7 +71,7 @@
     assert expected_wait_s(NEED, few) == pytest.approx(1.05)
     # They do not come all at once: each has its slot.
     assert expected_wait_s(NEED, many) == pytest.approx(1.0 / (1.0 - rules.RESERVED_SHARE))
-    assert expected_wait_s(changed(returner=True), many) == pytest.approx(1.0)
+    assert expected_wait_s(changed(is_announced_retry=True), many) == pytest.approx(1.0)
 
 
 def test_no_more_is_promised_than_its_part_of_the_room_that_comes():
--- a/reachlink/scheduling/tests/test_return_load.py
+++ b/reachlink/scheduling/tests/test_return_load.py
@@ -17,15 +17,15 @@
     Begin,
     CallerRetryRegistry,
     Need,
-    Option,
     QueueState,
     RefusalReason,
     Refuse,
+    ReplicaOption,
     RetryReservation,
     Start,
     Wait,
     best_start,
-    choose,
+    choose_replica,
     is_over_share,
     with_caller_retry,
 )
@@ -86,7 +86,7 @@
         return Need(
             tokens=self.tokens,
             prompt_tokens=self.kind.prompt_tokens,
-            first_by_s=self.first_at + self.kind.first_by_s - now,
+            first_event_due_in_s=self.first_at + self.kind.first_by_s - now,
             give_up_in_s=self.first_at + self.kind.deadline_s - now,
             workspace=self.workspace,
             waited_s=now - self.arrived_at,
@@ -152,11 +152,11 @@
         while self.freed and self.freed[0][0] < self.now - DRAIN_OVER_S:
             self.freed.popleft()
 
-    def _options(self) -> list[Option]:
+    def _options(self) -> list[ReplicaOption]:
         return [
-            Option(
+            ReplicaOption(
                 str(replica),
-                near=True,
+                same_zone=True,
                 running=self.running[replica],
                 slots=SLOTS,
                 tokens=self.used[replica],
@@ -184,7 +184,7 @@
             self.line.sort(key=self._order)
         passed = 0
         for caller in list(self.line):
-            name = choose(self._options(), caller.tokens, self.random)
+            name = choose_replica(self._options(), caller.tokens, self.random)
             waits = self.now - caller.arrived_at
             if name is not None:
                 self.line.remove(caller)
@@ -210,7 +210,7 @@
 
     def _decide(self, caller: Caller, need: Need) -> Start:
         if self.way is Way.AS_IT_STANDS:
-            name = choose(self._options(), need.tokens, self.random)
+            name = choose_replica(self._options(), need.tokens, self.random)
             return Begin(name) if name is not None else Wait(0.0)
         return best_start(self._options(), need, self.random, self._line_state(caller, need))
 
--- a/reachlink/scheduling/tests/test_returns.py
+++ b/reachlink/scheduling/tests/test_returns.py
@@ -36,7 +36,7 @@
     back_at = 100.0 + IN_S + 0.2
     need = with_caller_retry(NEED, book.claim(ONE, back_at), back_at)
     assert need.waited_s == pytest.approx(0.5 + IN_S + 0.2)
-    assert need.returner
+    assert need.is_announced_retry
 
 
 def test_who_comes_early_gains_nothing_and_loses_nothing(book):
@@ -113,7 +113,7 @@
     book.restore(reservation, 110.0)
     assert book.reserved_tokens("chat", 110.0) == NEED.tokens
     need = with_caller_retry(NEED, book.claim(ONE, 110.1), 110.1)
-    assert need.returner
+    assert need.is_announced_retry
     assert need.waited_s == pytest.approx(10.6)
     book.restore(reservation, 111.0)
     assert book.claim(ONE, 111.0 + returns.EXPIRY_DELAY_S) is None
@@ -123,7 +123,7 @@
     tell(book, refuse=NO_PLACE)
     assert book.reserved_tokens("chat", 100.0) == 0
     reservation = book.claim(ONE, 104.0)
-    assert with_caller_retry(NEED, reservation, 104.0).returner
+    assert with_caller_retry(NEED, reservation, 104.0).is_announced_retry
     book.record_outcome(reservation, ONE, "chat", NEED, NO_PLACE, 104.0)
     assert (book.counts.kept, book.counts.broken) == (0, 0)
 
--- a/reachlink/scheduling/tests/test_start.py
+++ b/reachlink/scheduling/tests/test_start.py
@@ -4,12 +4,16 @@
 
 import pytest
 
-from reachlink.scheduling import Begin, Need, Option, QueueState, Refuse, Wait, best_start
+from reachlink.scheduling import Begin, Need, QueueState, Refuse, ReplicaOption, Wait, best_start
 
 RANDOM = Random(3)
-FULL = Option("full", near=True, running=8, slots=24, tokens=26_000, capacity_tokens=26_900)
-FREE = Option("free", near=True, running=1, slots=24, tokens=3000, capacity_tokens=26_900)
-NEED = Need(tokens=3700, prompt_tokens=3000, first_by_s=4.0, give_up_in_s=39.0)
+FULL = ReplicaOption(
+    "full", same_zone=True, running=8, slots=24, tokens=26_000, capacity_tokens=26_900
+)
+FREE = ReplicaOption(
+    "free", same_zone=True, running=1, slots=24, tokens=3000, capacity_tokens=26_900
+)
+NEED = Need(tokens=3700, prompt_tokens=3000, first_event_due_in_s=4.0, give_up_in_s=39.0)
 
 
 def test_it_begins_where_there_is_room():
