--- a/reachlink/coordination/_line_exchange.py
+++ b/reachlink/coordination/_line_exchange.py
@@ -1,7 +1,7 @@
 """Keeps the line of requests that wait for room, and grants places in its order.
 
 It answers crowds: who waits asks once and gets the answer when there is room, and until
-then costs one message and its answer each `LINE_HOLD_S`.
+then costs one message and its answer each `QUEUE_POLL_TIMEOUT_S`.
 """
 
 import asyncio
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -328,7 +328,7 @@
         if self._table.index is None or not self.cut_off():
             return ""
         services = (service.name for service in self._table.services)
-        return next((name for name in services if self._runner.out_of_reach(name)), "")
+        return next((name for name in services if self._runner.is_service_unreachable(name)), "")
 
     def zone_peers(self) -> list[str]:
         """Return the addresses of the coordinators of this zone that are known."""
@@ -377,7 +377,7 @@
         self.log.info("upstream_started_again", replica=replica, born=self.directory.born(replica))
         self.book.start_again(replica)
         self._departures.forget(replica)
-        self._runner.on_started_again(replica)
+        self._runner.on_replica_restarted(replica)
 
     def on_resumed(self, suspended_s: float) -> None:
         """The machine was suspended for some time: what was known is that much older."""
--- a/reachlink/entry/tests/test_isolation.py
+++ b/reachlink/entry/tests/test_isolation.py
@@ -79,12 +79,12 @@
     for _ in range(5):
         asyncio.run(world.run(RequestKind.STREAM))
     assert {sent.replica for sent in world.adapter.sent} == {"m3"}
-    assert not world.runner.out_of_reach("model")
+    assert not world.runner.is_service_unreachable("model")
 
 
 def test_a_cut_off_zone_without_a_replica_refuses_at_once():
     world = cut_off_world("b b")
-    assert world.runner.out_of_reach("model")
+    assert world.runner.is_service_unreachable("model")
     with pytest.raises(RequestFailedError) as caught:
         # The wait for room would be longer than this.
         asyncio.run(asyncio.wait_for(world.run(RequestKind.STREAM, objective_s=100.0), 5.0))
--- a/reachlink/kernel/tests/test_layers.py
+++ b/reachlink/kernel/tests/test_layers.py
@@ -46,7 +46,7 @@
     ROOT / "requests" / "_cold_rates.py",
     ROOT / "requests" / "_event_merger.py",
     ROOT / "requests" / "_model.py",
-    ROOT / "requests" / "_patience.py",
+    ROOT / "requests" / "_wait_limits.py",
     ROOT / "requests" / "_shared_load.py",
     ROOT / "control" / "_machine.py",
     ROOT / "control" / "_claims.py",
--- a/reachlink/requests/_line_placing.py
+++ b/reachlink/requests/_line_placing.py
@@ -4,8 +4,12 @@
 
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._patience import LINE_HOLD_S, WAIT_STEP_S, may_wait_for_room
 from reachlink.requests._placing import Placing
+from reachlink.requests._wait_limits import (
+    QUEUE_POLL_TIMEOUT_S,
+    ROOM_POLL_INTERVAL_S,
+    may_wait_for_room,
+)
 from reachlink.scheduling import Refuse, Wait
 from reachlink.upstreams import Replica
 
@@ -60,7 +64,7 @@
             asked_at = parts.clock()
             calm_only = may_wait_for_room(request, asked_at)
             # The first reply is not delayed, so that a missing owner is noticed early.
-            hold_s = LINE_HOLD_S if in_line else 0.0
+            hold_s = QUEUE_POLL_TIMEOUT_S if in_line else 0.0
             found = await self._placing.place_queued(request, tried, calm_only, hold_s)
             if isinstance(found, Replica | Refuse):
                 return found
@@ -76,7 +80,7 @@
                 # The owner has just started. The request's age determines its position.
                 await asyncio.sleep(NO_OWNER_POLL_INTERVAL_S)
             elif in_line and parts.clock() - asked_at < MIN_HELD_REPLY_S:
-                await asyncio.sleep(WAIT_STEP_S)
+                await asyncio.sleep(ROOM_POLL_INTERVAL_S)
             in_line = in_line or isinstance(found, Wait)
 
     def _waits_for_other_than_room(self, request: CallerRequest, tried: set[str]) -> bool:
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -9,11 +9,11 @@
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._outcome_recorder import OutcomeRecorder
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._patience import WAIT_STEP_S, may_wait_for_room
 from reachlink.requests._placing import Placing
 from reachlink.requests._replica_pace import ReplicaPace
 from reachlink.requests._retry_policy import RetryPolicy
 from reachlink.requests._timely_placing import TimelyPlacing
+from reachlink.requests._wait_limits import ROOM_POLL_INTERVAL_S, may_wait_for_room
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import (
     Continuation,
@@ -128,7 +128,7 @@
             if not may_wait_for_room(request, self.now()):
                 self._log_full(request, size)
                 return None
-            await asyncio.sleep(WAIT_STEP_S)
+            await asyncio.sleep(ROOM_POLL_INTERVAL_S)
         return full
 
     def _log_full(self, request: CallerRequest, size: int) -> None:
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -9,7 +9,7 @@
 from reachlink.requests._placing import Placing
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._streams import StreamRunner
-from reachlink.requests._whole import WholeRunner
+from reachlink.requests._whole_answers import WholeRunner
 from reachlink.requests.exceptions import RequestFailedError, StreamCutError
 from reachlink.routing import RequestKind
 
@@ -36,11 +36,11 @@
         """Chooses replicas."""
         return self._dispatch.placing
 
-    def out_of_reach(self, service: str) -> bool:
+    def is_service_unreachable(self, service: str) -> bool:
         """Return whether this zone is cut off and has no replica of a service."""
         return self._dispatch.placing.reachable.out_of_reach(service)
 
-    def on_started_again(self, replica: str) -> None:
+    def on_replica_restarted(self, replica: str) -> None:
         """Take that a replica has started again under its name."""
         self._dispatch.guard.on_started_again(replica)
 
--- a/reachlink/requests/_timely_placing.py
+++ b/reachlink/requests/_timely_placing.py
@@ -9,14 +9,14 @@
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._needs import need_tokens
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._patience import (
-    WAIT_STEP_S,
-    first_list_until,
+from reachlink.requests._placing import Placing
+from reachlink.requests._wait_limits import (
+    ROOM_POLL_INTERVAL_S,
+    first_list_deadline,
+    max_permit_wait_s,
     may_wait_for_room,
-    pause_before_look,
-    permit_patience_s,
+    poll_delay_s,
 )
-from reachlink.requests._placing import Placing
 from reachlink.scheduling import Refuse
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import Replica, UpstreamHeldBackError
@@ -58,7 +58,7 @@
                 # The hold may have changed during the placement.
                 hold = self._placing.hold(request, tried) or hold
                 held_s = hold.left_s if hold is not None else None
-                pause_s = pause_before_look(request, parts.clock(), held_s)
+                pause_s = poll_delay_s(request, parts.clock(), held_s)
             if pause_s is not None:
                 await asyncio.sleep(pause_s)
                 continue
@@ -88,9 +88,9 @@
         """Wait for the first whole list of replicas; return whether this instance has one."""
         parts = self._parts
         while not parts.directory.is_whole:
-            if parts.clock() >= first_list_until(request):
+            if parts.clock() >= first_list_deadline(request):
                 return False
-            await asyncio.sleep(WAIT_STEP_S)
+            await asyncio.sleep(ROOM_POLL_INTERVAL_S)
         return True
 
     async def _place_with_permit(
@@ -103,7 +103,7 @@
         overtake them, and callers would be served in random order instead of arrival order.
         """
         parts = self._parts
-        patience_s = permit_patience_s(request, parts.clock())
+        patience_s = max_permit_wait_s(request, parts.clock())
         if left_s >= patience_s:
             return None
         replica = await self._placing.place(request, tried, calm_only, left_s)
--- a/reachlink/requests/_whole.py
+++ b/reachlink/requests/_whole_answers.py
@@ -17,7 +17,7 @@
 
 # How long a replica may take for a repeatable request before another is asked,
 # as a multiple of the route's objective.
-PATIENCE_OBJECTIVES = 1.0
+SLOW_REPLICA_OBJECTIVES = 1.0
 # HTTP statuses from here on are faults of the replica (RFC 9110, section 15.6).
 SERVER_ERROR = 500
 
@@ -73,7 +73,7 @@
         """
         fingerprint = request.relay.fingerprint
         may_retry = attempts.may_repeat and attempts.sent + 1 < attempts.max_attempts
-        timeout_s = request.route.objective_s * PATIENCE_OBJECTIVES if may_retry else None
+        timeout_s = request.route.objective_s * SLOW_REPLICA_OBJECTIVES if may_retry else None
         sent_at = self._dispatch.now()
         try:
             async with (
--- a/reachlink/requests/tests/test_patience.py
+++ b/reachlink/requests/tests/test_wait_limits.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from reachlink.requests import _patience as patience
+from reachlink.requests import _wait_limits as wait_limits
 from reachlink.requests.tests.world import world
 from reachlink.routing import RequestKind
 
@@ -27,14 +27,14 @@
     request = world().request(RequestKind.ONCE)
     now = request.arrived_at + share * request.route.objective_s
     assert request.route.objective_s == OBJECTIVE_S
-    assert (patience.pause_before_look(request, now, backoff_s) is not None) == looks
+    assert (wait_limits.poll_delay_s(request, now, backoff_s) is not None) == looks
 
 
 def test_it_looks_no_later_than_a_backoff_ends():
     request = world().request(RequestKind.STREAM)
-    pause_s = patience.pause_before_look(request, request.arrived_at, 0.06)
+    pause_s = wait_limits.poll_delay_s(request, request.arrived_at, 0.06)
     assert pause_s == 0.06
     assert (
-        patience.pause_before_look(request, request.arrived_at, 0.4)
-        == patience.PACING_POLL_INTERVAL_S
+        wait_limits.poll_delay_s(request, request.arrived_at, 0.4)
+        == wait_limits.PACING_POLL_INTERVAL_S
     )
