--- a/reachlink/entry/_borders.py
+++ b/reachlink/entry/_borders.py
@@ -7,7 +7,7 @@
 
 from reachlink.entry._readers import CallerReaders
 from reachlink.kernel import Registry
-from reachlink.limits import HeldBytes
+from reachlink.limits import BufferBudget
 from reachlink.quarantine import Fingerprinter
 from reachlink.requests import RequestRunner
 from reachlink.routing import RequestKind, RoutingIndex
@@ -32,7 +32,7 @@
         """Tells requests apart that come again."""
 
     @property
-    def held(self) -> HeldBytes:
+    def held(self) -> BufferBudget:
         """Counts what is held for callers."""
 
     @property
--- a/reachlink/entry/_dispatcher.py
+++ b/reachlink/entry/_dispatcher.py
@@ -14,7 +14,7 @@
 from reachlink.entry._ledger import InFlight
 from reachlink.entry.exceptions import RequestError
 from reachlink.lengths import LengthKey
-from reachlink.limits import DrainRate, FairQueue, Waiting
+from reachlink.limits import DrainRate, FairQueue, FairQueueEntry
 from reachlink.pacing import Hold, HoldReason
 from reachlink.placement import (
     UNLIMITED,
@@ -181,7 +181,7 @@
         """Return how long a request at a position in the queue will wait."""
         return self._drain.expected_wait_s(position, self._clock())
 
-    def _check_pending(self, waiting: Waiting[_Pending]) -> None:
+    def _check_pending(self, waiting: FairQueueEntry[_Pending]) -> None:
         """Refuse a waiting request that no replica will take in time."""
         try:
             self._check_hold(waiting.item.ticket)
@@ -213,11 +213,11 @@
         ordered = self._queue.ordered(self._clock())
         return ordered[0].priority < ticket.priority
 
-    def _enqueue(self, pending: _Pending) -> Waiting[_Pending]:
+    def _enqueue(self, pending: _Pending) -> FairQueueEntry[_Pending]:
         ticket = pending.ticket
         now = self._clock()
         self._check_bounds(ticket, now)
-        waiting = Waiting(
+        waiting = FairQueueEntry(
             pending,
             ticket.workspace,
             ticket.priority,
@@ -242,7 +242,7 @@
         self._queue.remove(last)
         _refuse(last.item, self._overloaded("displaced by a request of higher priority"))
 
-    def _check_wait(self, waiting: Waiting[_Pending], now: float) -> None:
+    def _check_wait(self, waiting: FairQueueEntry[_Pending], now: float) -> None:
         """Refuse at once what would wait past its deadline."""
         position = self._queue.ordered(now).index(waiting) + 1
         if now + self.expected_wait_s(position) > waiting.deadline:
--- a/reachlink/entry/_entry_metrics.py
+++ b/reachlink/entry/_entry_metrics.py
@@ -9,7 +9,7 @@
     LIMIT_DESCRIPTION,
     PERMITS_DESCRIPTION,
 )
-from reachlink.limits import HeldBytes
+from reachlink.limits import BufferBudget
 from reachlink.telemetry import Metrics
 
 
@@ -39,7 +39,7 @@
             "reachlink_requests_held", "1", "Requests that replicas crash under.", held
         )
 
-    def export_held_bytes(self, held: HeldBytes) -> None:
+    def export_held_bytes(self, held: BufferBudget) -> None:
         """Export what is held for callers that are slow to send."""
         export_held_bytes(self._metrics, held)
 
--- a/reachlink/entry/_held_sight.py
+++ b/reachlink/entry/_held_sight.py
@@ -6,7 +6,7 @@
 
 from reachlink.entry._log_lines import LogLines
 from reachlink.kernel import steady_time
-from reachlink.limits import HeldBytes, HeldKind
+from reachlink.limits import BufferBudget, BufferKind
 from reachlink.telemetry import Metrics
 
 # Log lines of one kind a second at the most; those beyond are counted in the next one.
@@ -16,14 +16,14 @@
 BODIES_REFUSED_DESCRIPTION = "Bodies refused since the instance holds as much as it may."
 
 
-def export_held_bytes(metrics: Metrics, held: HeldBytes) -> None:
+def export_held_bytes(metrics: Metrics, held: BufferBudget) -> None:
     """Export what is held for callers and replicas that are slow."""
-    for kind in HeldKind:
+    for kind in BufferKind:
         metrics.gauge(
             f"reachlink_held_{kind.value}",
             "By",
             f"Bytes held for callers: {kind.value}.",
-            functools.partial(held.of, kind),
+            functools.partial(held.bytes_of, kind),
         )
     metrics.gauge(
         "reachlink_held_limit",
@@ -38,7 +38,7 @@
 
     Parameters
     ----------
-    budget : HeldBytes
+    budget : BufferBudget
         What is held.
     count_refused, count_closed : callable
         Called for each refusal, and for each caller closed.
@@ -50,7 +50,7 @@
 
     def __init__(
         self,
-        budget: HeldBytes,
+        budget: BufferBudget,
         count_refused: Callable[[], None],
         count_closed: Callable[[], None],
         log: Any,
@@ -98,5 +98,5 @@
             self._log.info(event, unlogged=self._marks.skipped(), **self._shown())
 
     def _shown(self) -> dict[str, int]:
-        shown = {kind.value: self._budget.of(kind) for kind in HeldKind}
+        shown = {kind.value: self._budget.bytes_of(kind) for kind in BufferKind}
         return {**shown, "limit": self._budget.limit}
--- a/reachlink/entry/_http.py
+++ b/reachlink/entry/_http.py
@@ -13,7 +13,7 @@
 from reachlink.entry._node import EntryNode
 from reachlink.entry.exceptions import HeldOverBudgetError, RequestError
 from reachlink.kernel import bearer_key, json_response
-from reachlink.limits import UNTOLD_BYTES, HeldKind, Holding
+from reachlink.limits import UNDECLARED_BYTES, BufferKind, CallerBuffer
 from reachlink.settings import hash_key
 
 REQUEST_HEADER = "X-Request-Id"
@@ -54,7 +54,7 @@
     async def middleware(request: web.Request, handler: Handler) -> web.StreamResponse:
         request_id = f"req-{uuid.uuid4().hex}"
         request["request_id"] = request_id
-        held = request["held"] = Holding(node.held)
+        held = request["held"] = CallerBuffer(node.held)
         node.running_requests += 1
         try:
             return await handler(request)
@@ -113,13 +113,13 @@
     RequestError
         If it is too large or comes too slowly, or the instance has no room for it.
     """
-    held: Holding = request["held"]
+    held: CallerBuffer = request["held"]
     too_large = RequestError(
         413, "body_too_large", f"the body is larger than {limit} bytes", param="body"
     )
     if (request.content_length or 0) > limit:
         raise too_large
-    announced = UNTOLD_BYTES if request.content_length is None else request.content_length
+    announced = UNDECLARED_BYTES if request.content_length is None else request.content_length
     if request.body_exists and not held.admits(announced):
         raise HeldOverBudgetError(announced)
     body = bytearray()
@@ -129,9 +129,9 @@
                 body += piece
                 if len(body) > limit:
                     raise too_large
-                if not held.take(HeldKind.INCOMING, len(piece)):
+                if not held.reserve(BufferKind.INCOMING, len(piece)):
                     raise HeldOverBudgetError(len(body))
     except TimeoutError as error:
         raise RequestError(408, "body_too_slow", "the body came too slowly") from error
-    held.turn(HeldKind.INCOMING, HeldKind.REQUEST)
+    held.reclassify(BufferKind.INCOMING, BufferKind.REQUEST)
     return bytes(body)
--- a/reachlink/entry/_ledger.py
+++ b/reachlink/entry/_ledger.py
@@ -104,7 +104,7 @@
 
     def expected_tokens(self, key: LengthKey) -> float:
         """Return the expected size of an answer."""
-        return self._lengths.curve(key).expected_more(0)
+        return self._lengths.curve(key).expected_remaining(0)
 
     def own_profile(self, name: str, now: float) -> MemoryProfile:
         """Return the forecast of what this instance has on a replica."""
--- a/reachlink/entry/_node.py
+++ b/reachlink/entry/_node.py
@@ -25,7 +25,7 @@
 from reachlink.entry._ledger import Ledger
 from reachlink.kernel import steady_time
 from reachlink.lengths import LengthEstimator
-from reachlink.limits import HeldBytes, QuotaTracker, RetryBudget
+from reachlink.limits import BufferBudget, QuotaTracker, RetryBudget
 from reachlink.membership import InstanceRecord, ReplicaDirectory
 from reachlink.messaging import Bus, encode
 from reachlink.pacing import Hold
@@ -65,7 +65,7 @@
         self.random = Random()
         self.bus = Bus(config.name, config.cluster_secret.encode(), config.routes)
         self.control = ControlClient(self.bus, config.controls)
-        self.held = HeldBytes(config.held_bytes)
+        self.held = BufferBudget(config.held_bytes)
         self.client = HttpClient(bounded=self.held.limited)
         self.directory = ReplicaDirectory(config.routes, pacing=self.client.pacing)
         self.lengths = LengthEstimator()
@@ -101,7 +101,7 @@
         sight = HeldSight(
             self.held, lambda: self.metrics.bodies_refused.add(1), lambda: None, self.log
         )
-        self.held.on_pressed = sight.pressed
+        self.held.on_pressure_change = sight.pressed
         self.on_body_refused = sight.refused
         self.metrics.export_backoffs(lambda: self.client.pacing.backoffs.count(steady_time()))
         self.metrics.export_limits(self.client.pacing.limits.count)
--- a/reachlink/entry/_readers.py
+++ b/reachlink/entry/_readers.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from reachlink.kernel import steady_time
-from reachlink.limits import HeldBytes, HeldKind, Holding
+from reachlink.limits import BufferBudget, BufferKind, CallerBuffer
 
 # How long a caller that takes nothing is borne beyond its own patience, in seconds.
 BORNE_S = 2.0
@@ -25,7 +25,7 @@
     ----------
     transport : asyncio.Transport
         Its connection.
-    holding : Holding
+    holding : CallerBuffer
         Counts the bytes.
     ahead_bytes : int
         Bytes that an answer may be ahead of its caller while it comes in.
@@ -33,7 +33,9 @@
 
     __slots__ = ("_ahead_bytes", "_holding", "_transport", "ends_at", "moved_at", "request_id")
 
-    def __init__(self, transport: asyncio.Transport, holding: Holding, ahead_bytes: int) -> None:
+    def __init__(
+        self, transport: asyncio.Transport, holding: CallerBuffer, ahead_bytes: int
+    ) -> None:
         self._transport = transport
         self._holding = holding
         self._ahead_bytes = ahead_bytes
@@ -62,7 +64,7 @@
         """Count what is unread; return whether that is within the budget."""
         if size < self._holding.total or not size:
             self.moved_at = now
-        return self._holding.note(HeldKind.ANSWER, size)
+        return self._holding.set_size(BufferKind.ANSWER, size)
 
     def go_ahead(self) -> None:
         """Let the answer be ahead of its caller while it comes in."""
@@ -90,7 +92,7 @@
 
     Parameters
     ----------
-    budget : HeldBytes
+    budget : BufferBudget
         What they count against.
     on_closed : callable
         Called with the request, bytes and seconds of standing still of each that is closed.
@@ -100,7 +102,7 @@
 
     def __init__(
         self,
-        budget: HeldBytes,
+        budget: BufferBudget,
         on_closed: Callable[[str, int, float], None],
         clock: Callable[[], float] = steady_time,
     ) -> None:
@@ -132,8 +134,8 @@
             return None
         reader = self._readers.get(transport)
         if reader is None:
-            holding = Holding(self._budget)
-            reader = CallerReader(transport, holding, self._budget.ahead_bytes)
+            holding = CallerBuffer(self._budget)
+            reader = CallerReader(transport, holding, self._budget.answer_buffer_bytes)
             reader.moved_at = self._clock()
             self._readers[transport] = reader
         reader.request_id, reader.ends_at = request_id, ends_at
--- a/reachlink/entry/_relay_metrics.py
+++ b/reachlink/entry/_relay_metrics.py
@@ -6,7 +6,7 @@
 
 from reachlink.entry._held_sight import BODIES_REFUSED_DESCRIPTION, export_held_bytes
 from reachlink.entry._relay_config import RelayConfig
-from reachlink.limits import HeldBytes
+from reachlink.limits import BufferBudget
 from reachlink.messaging import Traffic, export_traffic
 from reachlink.scheduling import CallerRetryCounts, RefusalReason
 from reachlink.telemetry import Metrics
@@ -105,7 +105,7 @@
             "reachlink_requests_suspected", "1", "Requests that a crash counts against.", kept
         )
 
-    def export_held(self, held: HeldBytes) -> None:
+    def export_held(self, held: BufferBudget) -> None:
         """Export what is held for callers and replicas that are slow."""
         export_held_bytes(self._metrics, held)
 
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -31,7 +31,7 @@
 from reachlink.entry._zone_reach import ZoneReach
 from reachlink.entry._zones_in_force import ZonesInForce
 from reachlink.kernel import steady_time
-from reachlink.limits import HeldBytes
+from reachlink.limits import BufferBudget
 from reachlink.membership import InstanceRecord, ReplicaDirectory
 from reachlink.messaging import Bus
 from reachlink.quarantine import Fingerprinter, Quarantine
@@ -66,7 +66,7 @@
         self.bus = Bus(config.name, config.cluster_secret.encode())
         self.fingerprinter = Fingerprinter(config.cluster_secret.encode())
         self.control = ControlClient(self.bus, list(config.seeds))
-        self.held = HeldBytes(config.scheduling.held_bytes)
+        self.held = BufferBudget(config.scheduling.held_bytes)
         self.client = HttpClient(
             connect_timeout_s=config.connect_timeout_s, bounded=self.held.limited
         )
@@ -152,7 +152,7 @@
             lambda: self.metrics.readers_closed.add(1),
             self.log,
         )
-        self.held.on_pressed = sight.pressed
+        self.held.on_pressure_change = sight.pressed
         self.on_body_refused = sight.refused
         self.readers = CallerReaders(self.held, sight.closed)
         self._controls = KnownControls(self.control, config.availability_zone, config.seeds)
--- a/reachlink/entry/tests/test_held_bodies.py
+++ b/reachlink/entry/tests/test_held_bodies.py
@@ -7,7 +7,7 @@
 from aiohttp import ClientSession, web
 
 from reachlink.entry._http import error_middleware, read_body
-from reachlink.limits import HeldBytes, HeldKind
+from reachlink.limits import BufferBudget, BufferKind
 
 MB = 1 << 20
 
@@ -18,7 +18,7 @@
     def __init__(self, held_bytes: int) -> None:
         self.refused: list[int] = []
         self.node = cast(Any, SimpleNamespace)(
-            held=HeldBytes(held_bytes),
+            held=BufferBudget(held_bytes),
             running_requests=0,
             on_body_refused=lambda request_id, size: self.refused.append(size),
         )
@@ -79,7 +79,7 @@
         kept = []
         for number in range(1, 5):
             kept.append(asyncio.create_task(post(session, f"{instance.url}/keep", b"x" * MB)))
-            while held.of(HeldKind.REQUEST) < number * MB:
+            while held.bytes_of(BufferKind.REQUEST) < number * MB:
                 await asyncio.sleep(0.001)
         for body in (b"x" * MB, in_pieces(MB)):
             status, error = await post(session, f"{instance.url}/keep", body)
--- a/reachlink/entry/tests/test_held_sight.py
+++ b/reachlink/entry/tests/test_held_sight.py
@@ -3,7 +3,7 @@
 from structlog.testing import CapturingLogger
 
 from reachlink.entry._held_sight import LINES_PER_S, HeldSight
-from reachlink.limits import HeldBytes, HeldKind
+from reachlink.limits import BufferBudget, BufferKind
 
 
 def test_many_decisions_in_a_second_write_a_few_lines():
@@ -14,10 +14,10 @@
     def count(name: str) -> None:
         counts[name] += 1
 
-    budget = HeldBytes(1000)
+    budget = BufferBudget(1000)
     sight = HeldSight(budget, lambda: count("refused"), lambda: count("closed"), log, lambda: now)
-    budget.on_pressed = sight.pressed
-    budget.change(HeldKind.ANSWER, 800)
+    budget.on_pressure_change = sight.pressed
+    budget.adjust(BufferKind.ANSWER, 800)
     for number in range(100):
         sight.refused(f"id-{number}", 300)
         sight.closed(f"id-{number}", 50, 2.5)
--- a/reachlink/lengths/_survival.py
+++ b/reachlink/lengths/_survival.py
@@ -40,7 +40,7 @@
         """Return the probability that an answer of `tokens` tokens has `more` further tokens."""
         return self.longer_than(tokens + more) / max(_LEAST, self.longer_than(tokens))
 
-    def expected_more(self, tokens: int) -> float:
+    def expected_remaining(self, tokens: int) -> float:
         """Return the expected number of further tokens of an answer of `tokens` tokens."""
         first = bucket_of(tokens)
         alive = max(_LEAST, self.longer_than(tokens))
--- a/reachlink/lengths/tests/test_lengths.py
+++ b/reachlink/lengths/tests/test_lengths.py
@@ -73,4 +73,4 @@
 def test_expected_remaining_is_the_area_under_the_curve():
     curve = SurvivalCurve([0.1] * BUCKET_COUNT)
     total = sum(curve.still_running(100, h) for h in range(131_000))
-    assert abs(curve.expected_more(100) - total) / total < 0.02
+    assert abs(curve.expected_remaining(100) - total) / total < 0.02
--- a/reachlink/limits/_fair_queue.py
+++ b/reachlink/limits/_fair_queue.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class Waiting(Generic[T]):
+class FairQueueEntry(Generic[T]):
     """A queued request.
 
     Attributes
@@ -55,7 +55,7 @@
 class FairQueue(Generic[T]):
     """Requests queued in one entry instance for one upstream."""
 
-    _waiting: list[Waiting[T]] = field(default_factory=list)
+    _waiting: list[FairQueueEntry[T]] = field(default_factory=list)
     _finish_tags: dict[str, float] = field(default_factory=dict)
     _virtual_time: float = 0.0
 
@@ -66,36 +66,36 @@
         """Return the number of queued requests of a workspace."""
         return sum(1 for w in self._waiting if w.workspace == workspace)
 
-    def push(self, waiting: Waiting[T]) -> None:
+    def push(self, waiting: FairQueueEntry[T]) -> None:
         """Add a request."""
         start = max(self._virtual_time, self._finish_tags.get(waiting.workspace, 0.0))
         waiting.start_tag = start
         self._finish_tags[waiting.workspace] = start + waiting.cost / waiting.weight
         self._waiting.append(waiting)
 
-    def remove(self, waiting: Waiting[T]) -> None:
+    def remove(self, waiting: FairQueueEntry[T]) -> None:
         """Remove a request, if it is queued."""
         if waiting in self._waiting:
             self._waiting.remove(waiting)
             self._tidy()
 
-    def ordered(self, now: float) -> list[Waiting[T]]:
+    def ordered(self, now: float) -> list[FairQueueEntry[T]]:
         """Return the requests in the order in which they should run."""
         return sorted(self._waiting, key=lambda w: _order(w, now))
 
-    def take(self, waiting: Waiting[T]) -> None:
+    def take(self, waiting: FairQueueEntry[T]) -> None:
         """Remove a request that is about to run."""
         self._virtual_time = max(self._virtual_time, waiting.start_tag)
         self.remove(waiting)
 
-    def expired(self, now: float) -> list[Waiting[T]]:
+    def expired(self, now: float) -> list[FairQueueEntry[T]]:
         """Remove and return the requests whose deadline has passed."""
         late = [w for w in self._waiting if w.deadline <= now]
         for waiting in late:
             self.remove(waiting)
         return late
 
-    def shed(self, now: float) -> Waiting[T] | None:
+    def shed(self, now: float) -> FairQueueEntry[T] | None:
         """Remove and return the request that would run last."""
         if not self._waiting:
             return None
@@ -109,6 +109,6 @@
             self._virtual_time = 0.0
 
 
-def _order(waiting: Waiting[T], now: float) -> tuple[float, float, float]:
+def _order(waiting: FairQueueEntry[T], now: float) -> tuple[float, float, float]:
     aged = waiting.priority + int((now - waiting.since) / AGING_S_PER_LEVEL)
     return (-aged, waiting.start_tag, waiting.since)
--- a/reachlink/limits/_held_bytes.py
+++ b/reachlink/limits/_held_bytes.py
@@ -22,10 +22,10 @@
 SHORT_BYTES = 16 << 10
 # Size in bytes assumed for a body of undeclared length before it arrives, so that it counts as
 # long.
-UNTOLD_BYTES = SHORT_BYTES + 1
+UNDECLARED_BYTES = SHORT_BYTES + 1
 
 
-class HeldKind(Enum):
+class BufferKind(Enum):
     """What memory is used for."""
 
     INCOMING = "incoming"  # bodies being received
@@ -33,7 +33,7 @@
     ANSWER = "answer"  # answers that their callers have not read yet
 
 
-class HeldBytes:
+class BufferBudget:
     """Memory budget of one instance for bodies and answers.
 
     Parameters
@@ -46,12 +46,12 @@
         self._limit = limit
         self._high = int(limit * HIGH_PART)
         self._low = int(limit * LOW_PART)
-        self._held = dict.fromkeys(HeldKind, 0)
+        self._held = dict.fromkeys(BufferKind, 0)
         self._total = 0
         self._pressed = False
         # Called with True when the high watermark is reached, and with False when usage falls to
         # the low one again.
-        self.on_pressed: Callable[[bool], None] = lambda pressed: None
+        self.on_pressure_change: Callable[[bool], None] = lambda pressed: None
 
     @property
     def limited(self) -> bool:
@@ -69,12 +69,12 @@
         return self._total
 
     @property
-    def pressed(self) -> bool:
+    def under_pressure(self) -> bool:
         """Whether long bodies are refused, until usage falls to the low watermark."""
         return self._pressed
 
     @property
-    def may_run_ahead(self) -> bool:
+    def may_buffer_answers(self) -> bool:
         """Whether incoming answers may be buffered ahead of their callers."""
         return self._total <= self._low
 
@@ -84,11 +84,11 @@
         return int(self._limit * CALLER_PART)
 
     @property
-    def ahead_bytes(self) -> int:
+    def answer_buffer_bytes(self) -> int:
         """Bytes that one incoming answer may occupy ahead of its caller at the most."""
         return int(self._limit * AHEAD_PART)
 
-    def of(self, kind: HeldKind) -> int:
+    def bytes_of(self, kind: BufferKind) -> int:
         """Return the bytes of one kind held now."""
         return self._held[kind]
 
@@ -98,7 +98,7 @@
         Parameters
         ----------
         size : int
-            Size of the body in bytes as declared by the sender; `UNTOLD_BYTES` if undeclared.
+            Size of the body in bytes as declared by the sender; `UNDECLARED_BYTES` if undeclared.
         """
         if not self._limit:
             return True
@@ -112,35 +112,35 @@
         """Return whether `size` more bytes may be held, for a long body or otherwise."""
         return self._total + size <= (self._high if long else self._limit)
 
-    def change(self, kind: HeldKind, size: int) -> None:
+    def adjust(self, kind: BufferKind, size: int) -> None:
         """Add `size` bytes to the bytes held; a negative number releases bytes."""
         self._held[kind] += size
         self._total += size
         pressed = self._total >= self._high or (self._pressed and self._total > self._low)
         if pressed != self._pressed:
             self._pressed = pressed
-            self.on_pressed(pressed)
+            self.on_pressure_change(pressed)
 
-    def turn(self, kind: HeldKind, into: HeldKind, size: int) -> None:
+    def reclassify(self, kind: BufferKind, into: BufferKind, size: int) -> None:
         """Move `size` bytes from one kind to another; the total does not change."""
         self._held[kind] -= size
         self._held[into] += size
 
 
-class Holding:
+class CallerBuffer:
     """Memory used for one caller.
 
     Parameters
     ----------
-    budget : HeldBytes
+    budget : BufferBudget
         Budget of the instance.
     """
 
     __slots__ = ("_budget", "_held")
 
-    def __init__(self, budget: HeldBytes) -> None:
+    def __init__(self, budget: BufferBudget) -> None:
         self._budget = budget
-        self._held = dict.fromkeys(HeldKind, 0)
+        self._held = dict.fromkeys(BufferKind, 0)
 
     @property
     def limited(self) -> bool:
@@ -152,39 +152,39 @@
         """Bytes held for this caller now."""
         return sum(self._held.values())
 
-    def of(self, kind: HeldKind) -> int:
+    def bytes_of(self, kind: BufferKind) -> int:
         """Return the bytes of one kind held for this caller now."""
         return self._held[kind]
 
     def admits(self, size: int) -> bool:
-        """Return whether a body may be received; see `HeldBytes.admits`."""
+        """Return whether a body may be received; see `BufferBudget.admits`."""
         return self._budget.admits(size)
 
-    def could_ever(self, size: int) -> bool:
+    def fits_caller_limit(self, size: int) -> bool:
         """Return whether `size` more bytes would stay within the limit of one caller."""
         return not self.limited or self.total + size <= self._budget.caller_bytes
 
-    def take(self, kind: HeldKind, size: int) -> bool:
+    def reserve(self, kind: BufferKind, size: int) -> bool:
         """Reserve bytes if there is room; return whether there was.
 
         Parameters
         ----------
-        kind : HeldKind
+        kind : BufferKind
             What the bytes are used for.
         size : int
             Number of bytes.
         """
         if not self.limited:
             return True
-        if not self.could_ever(size):
+        if not self.fits_caller_limit(size):
             return False
-        long = kind is not HeldKind.ANSWER and self._held[kind] + size > SHORT_BYTES
+        long = kind is not BufferKind.ANSWER and self._held[kind] + size > SHORT_BYTES
         if not self._budget.has_room(size, long):
             return False
         self._change(kind, size)
         return True
 
-    def note(self, kind: HeldKind, size: int) -> bool:
+    def set_size(self, kind: BufferKind, size: int) -> bool:
         """Set the number of bytes held of one kind; return whether more may be held.
 
         For answers buffered ahead of their callers, whose bytes are in memory whether or not
@@ -192,7 +192,7 @@
 
         Parameters
         ----------
-        kind : HeldKind
+        kind : BufferKind
             What the bytes are used for.
         size : int
             Total number of bytes of this kind.
@@ -200,21 +200,21 @@
         if not self.limited:
             return True
         self._change(kind, size - self._held[kind])
-        return self._budget.may_run_ahead and self.could_ever(0)
+        return self._budget.may_buffer_answers and self.fits_caller_limit(0)
 
-    def turn(self, kind: HeldKind, into: HeldKind) -> None:
+    def reclassify(self, kind: BufferKind, into: BufferKind) -> None:
         """Move all bytes of one kind to another kind."""
         size = self._held[kind]
         self._held[kind] -= size
         self._held[into] += size
-        self._budget.turn(kind, into, size)
+        self._budget.reclassify(kind, into, size)
 
     def release(self) -> None:
         """Release everything held for this caller."""
         for kind, size in self._held.items():
             self._change(kind, -size)
 
-    def _change(self, kind: HeldKind, size: int) -> None:
+    def _change(self, kind: BufferKind, size: int) -> None:
         if size:
             self._held[kind] += size
-            self._budget.change(kind, size)
+            self._budget.adjust(kind, size)
--- a/reachlink/limits/_retries.py
+++ b/reachlink/limits/_retries.py
@@ -30,7 +30,7 @@
     most: float = MAX_SAVED
 
     @property
-    def has_one(self) -> bool:
+    def has_retry(self) -> bool:
         """Whether a retry is available now."""
         return self.saved >= 1.0
 
@@ -40,7 +40,7 @@
 
     def take(self) -> bool:
         """Consume a retry if one is available; return whether there was one."""
-        if not self.has_one:
+        if not self.has_retry:
             return False
         self.saved -= 1.0
         return True
--- a/reachlink/limits/_sent_bytes.py
+++ b/reachlink/limits/_sent_bytes.py
@@ -14,7 +14,7 @@
 LEAST_SHARE_BYTES = 2 << 20
 
 
-class SentBytes:
+class BytesInFlight:
     """Bytes of requests in flight, by replica.
 
     Parameters
@@ -30,11 +30,11 @@
         self._least = least
         self._sent: dict[str, int] = {}
 
-    def at(self, replica: str) -> int:
+    def bytes_at(self, replica: str) -> int:
         """Return the bytes in flight at a replica."""
         return self._sent.get(replica, 0)
 
-    def full(self, size: int, instances: int) -> frozenset[str]:
+    def replicas_without_room(self, size: int, instances: int) -> frozenset[str]:
         """Return the replicas that should not get a request of the given size now.
 
         A replica without requests from this instance accepts any size, and a short request may
--- a/reachlink/limits/tests/test_held_bytes.py
+++ b/reachlink/limits/tests/test_held_bytes.py
@@ -4,102 +4,102 @@
 
 import pytest
 
-from reachlink.limits import SHORT_BYTES, HeldBytes, HeldKind, Holding
+from reachlink.limits import SHORT_BYTES, BufferBudget, BufferKind, CallerBuffer
 
 MB = 1 << 20
 LIMIT = 24 * MB
 LONG = 4 * MB
 
 
-def taken(budget: HeldBytes, *sizes: int) -> list[Holding]:
+def taken(budget: BufferBudget, *sizes: int) -> list[CallerBuffer]:
     made = []
     for size in sizes:
-        holding = Holding(budget)
-        assert holding.take(HeldKind.INCOMING, size)
+        holding = CallerBuffer(budget)
+        assert holding.reserve(BufferKind.INCOMING, size)
         made.append(holding)
     return made
 
 
 def test_without_a_limit_nothing_is_counted_or_refused():
-    budget = HeldBytes(0)
-    holding = Holding(budget)
-    assert budget.admits(1 << 40) and holding.take(HeldKind.INCOMING, 1 << 40)
-    assert holding.note(HeldKind.ANSWER, 1 << 40) and not budget.limited
+    budget = BufferBudget(0)
+    holding = CallerBuffer(budget)
+    assert budget.admits(1 << 40) and holding.reserve(BufferKind.INCOMING, 1 << 40)
+    assert holding.set_size(BufferKind.ANSWER, 1 << 40) and not budget.limited
     assert (budget.total, holding.total) == (0, 0)
 
 
 def test_long_bodies_are_refused_from_the_high_to_the_low_watermark():
-    budget = HeldBytes(LIMIT)
+    budget = BufferBudget(LIMIT)
     marks: list[bool] = []
-    budget.on_pressed = marks.append
+    budget.on_pressure_change = marks.append
     held = taken(budget, *[LONG] * 4, 2 * MB)
-    assert budget.pressed and not budget.admits(SHORT_BYTES + 1)
+    assert budget.under_pressure and not budget.admits(SHORT_BYTES + 1)
     held[4].release()
     # Usage is between the watermarks: 16 of 24 MB.
-    assert budget.pressed and not budget.admits(SHORT_BYTES + 1)
+    assert budget.under_pressure and not budget.admits(SHORT_BYTES + 1)
     held[0].release()
-    assert not budget.pressed and budget.admits(LONG)
+    assert not budget.under_pressure and budget.admits(LONG)
     assert marks == [True, False]
 
 
 def test_short_bodies_are_admitted_up_to_the_limit():
-    budget = HeldBytes(LIMIT)
+    budget = BufferBudget(LIMIT)
     taken(budget, *[LONG] * 4, 2 * MB)
     assert budget.admits(SHORT_BYTES)
     shorts = 0
-    while Holding(budget).take(HeldKind.INCOMING, SHORT_BYTES):
+    while CallerBuffer(budget).reserve(BufferKind.INCOMING, SHORT_BYTES):
         shorts += 1
     assert shorts == 6 * MB // SHORT_BYTES
     assert budget.total == LIMIT and not budget.admits(1)
 
 
 def test_growing_bodies_stop_at_the_high_watermark():
-    budget = HeldBytes(LIMIT)
-    holdings = [Holding(budget) for _ in range(6)]
+    budget = BufferBudget(LIMIT)
+    holdings = [CallerBuffer(budget) for _ in range(6)]
     ended = set()
     for _ in range(1000):
         for holding in holdings:
-            if holding not in ended and not holding.take(HeldKind.INCOMING, SHORT_BYTES):
+            if holding not in ended and not holding.reserve(BufferKind.INCOMING, SHORT_BYTES):
                 ended.add(holding)
     assert len(ended) == 6 and budget.total <= int(LIMIT * 0.75)
 
 
 def test_one_caller_may_use_only_its_share():
-    budget = HeldBytes(LIMIT)
-    holding = Holding(budget)
-    assert holding.take(HeldKind.ANSWER, 8 * MB)
-    assert not holding.take(HeldKind.ANSWER, 1)
-    assert not holding.could_ever(1) and not budget.admits(8 * MB + 1)
-    assert Holding(budget).take(HeldKind.ANSWER, 8 * MB)
+    budget = BufferBudget(LIMIT)
+    holding = CallerBuffer(budget)
+    assert holding.reserve(BufferKind.ANSWER, 8 * MB)
+    assert not holding.reserve(BufferKind.ANSWER, 1)
+    assert not holding.fits_caller_limit(1) and not budget.admits(8 * MB + 1)
+    assert CallerBuffer(budget).reserve(BufferKind.ANSWER, 8 * MB)
 
 
 def test_bytes_already_buffered_are_counted_beyond_the_limit():
-    budget = HeldBytes(LIMIT)
+    budget = BufferBudget(LIMIT)
     # The buffer of a connection is in memory whether there is room or not.
-    reader = Holding(budget)
-    assert reader.note(HeldKind.ANSWER, 8 * MB)
-    assert not reader.note(HeldKind.ANSWER, 9 * MB)
-    others = Holding(budget)
-    assert not others.note(HeldKind.ANSWER, 6 * MB)
+    reader = CallerBuffer(budget)
+    assert reader.set_size(BufferKind.ANSWER, 8 * MB)
+    assert not reader.set_size(BufferKind.ANSWER, 9 * MB)
+    others = CallerBuffer(budget)
+    assert not others.set_size(BufferKind.ANSWER, 6 * MB)
     assert budget.total == 15 * MB
-    assert reader.note(HeldKind.ANSWER, 0) and budget.of(HeldKind.ANSWER) == 6 * MB
+    assert reader.set_size(BufferKind.ANSWER, 0) and budget.bytes_of(BufferKind.ANSWER) == 6 * MB
 
 
 def test_answers_ahead_of_callers_leave_room_for_bodies():
-    budget = HeldBytes(LIMIT)
-    readers = [Holding(budget) for _ in range(100)]
+    budget = BufferBudget(LIMIT)
+    readers = [CallerBuffer(budget) for _ in range(100)]
     for reader in readers:
         size = 0
-        while reader.note(HeldKind.ANSWER, size) and size < MB:
+        while reader.set_size(BufferKind.ANSWER, size) and size < MB:
             size += SHORT_BYTES
-    assert not budget.pressed and budget.admits(2 * MB) and budget.admits(SHORT_BYTES)
+    assert not budget.under_pressure and budget.admits(2 * MB) and budget.admits(SHORT_BYTES)
 
 
 def test_complete_body_is_counted_once():
-    budget = HeldBytes(LIMIT)
+    budget = BufferBudget(LIMIT)
     (holding,) = taken(budget, LONG)
-    holding.turn(HeldKind.INCOMING, HeldKind.REQUEST)
-    assert (budget.of(HeldKind.INCOMING), budget.of(HeldKind.REQUEST)) == (0, LONG)
+    holding.reclassify(BufferKind.INCOMING, BufferKind.REQUEST)
+    assert (budget.bytes_of(BufferKind.INCOMING), budget.bytes_of(BufferKind.REQUEST)) == (0, LONG)
     holding.release()
     holding.release()
     assert budget.total == 0
@@ -108,41 +108,41 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_totals_agree_after_random_operations(seed):
     random = Random(seed)
-    budget = HeldBytes(LIMIT)
-    holdings = [Holding(budget) for _ in range(12)]
+    budget = BufferBudget(LIMIT)
+    holdings = [CallerBuffer(budget) for _ in range(12)]
     for _ in range(500):
         holding = random.choice(holdings)
-        kind = random.choice(list(HeldKind))
+        kind = random.choice(list(BufferKind))
         random.choice(
             [
-                lambda h=holding, k=kind: h.take(k, random.randrange(3 * MB)),
-                lambda h=holding: h.turn(HeldKind.INCOMING, HeldKind.REQUEST),
+                lambda h=holding, k=kind: h.reserve(k, random.randrange(3 * MB)),
+                lambda h=holding: h.reclassify(BufferKind.INCOMING, BufferKind.REQUEST),
                 lambda h=holding: h.release(),
             ]
         )()
         assert budget.total == sum(one.total for one in holdings) <= LIMIT
-        assert budget.total == sum(budget.of(kind) for kind in HeldKind)
+        assert budget.total == sum(budget.bytes_of(kind) for kind in BufferKind)
         assert all(0 <= one.total <= LIMIT // 3 for one in holdings)
     for holding in holdings:
         holding.release()
-    assert budget.total == 0 and not budget.pressed
+    assert budget.total == 0 and not budget.under_pressure
 
 
 def test_completing_a_body_does_not_end_memory_pressure():
     """A complete body stays in memory as a request, so the low watermark is not reached."""
-    budget = HeldBytes(10 * MB)
+    budget = BufferBudget(10 * MB)
     marks: list[bool] = []
-    budget.on_pressed = marks.append
-    first, second = Holding(budget), Holding(budget)
-    assert first.take(HeldKind.INCOMING, MB)
-    budget.change(HeldKind.REQUEST, 6 * MB + MB // 2)
-    assert second.take(HeldKind.ANSWER, MB)
+    budget.on_pressure_change = marks.append
+    first, second = CallerBuffer(budget), CallerBuffer(budget)
+    assert first.reserve(BufferKind.INCOMING, MB)
+    budget.adjust(BufferKind.REQUEST, 6 * MB + MB // 2)
+    assert second.reserve(BufferKind.ANSWER, MB)
     second.release()
-    budget.change(HeldKind.REQUEST, -MB)
-    assert budget.pressed and budget.total == 6 * MB + MB // 2
-    first.turn(HeldKind.INCOMING, HeldKind.REQUEST)
-    assert first.of(HeldKind.REQUEST) == MB and first.of(HeldKind.INCOMING) == 0
+    budget.adjust(BufferKind.REQUEST, -MB)
+    assert budget.under_pressure and budget.total == 6 * MB + MB // 2
+    first.reclassify(BufferKind.INCOMING, BufferKind.REQUEST)
+    assert first.bytes_of(BufferKind.REQUEST) == MB and first.bytes_of(BufferKind.INCOMING) == 0
     assert budget.total == 6 * MB + MB // 2
-    assert budget.pressed and marks == [True]
+    assert budget.under_pressure and marks == [True]
     first.release()
-    assert not budget.pressed and marks == [True, False]
+    assert not budget.under_pressure and marks == [True, False]
--- a/reachlink/limits/tests/test_limits.py
+++ b/reachlink/limits/tests/test_limits.py
@@ -5,7 +5,14 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reachlink.limits import FairQueue, QuotaLimits, QuotaTracker, RetryBudget, Waiting, fair_share
+from reachlink.limits import (
+    FairQueue,
+    FairQueueEntry,
+    QuotaLimits,
+    QuotaTracker,
+    RetryBudget,
+    fair_share,
+)
 from reachlink.limits._fair_queue import AGING_S_PER_LEVEL
 
 
@@ -58,7 +65,7 @@
 
 
 def make(workspace: str, priority: int = 5, weight: float = 1.0, since: float = 0.0):
-    return Waiting(object(), workspace, priority, weight, 100.0, since, 1e9)
+    return FairQueueEntry(object(), workspace, priority, weight, 100.0, since, 1e9)
 
 
 def test_a_large_workspace_does_not_starve_a_small_one():
--- a/reachlink/limits/tests/test_sent_bytes.py
+++ b/reachlink/limits/tests/test_sent_bytes.py
@@ -1,35 +1,35 @@
 """Request bytes in flight from one instance to a replica are bounded, except for short requests."""
 
-from reachlink.limits import SHORT_BYTES, SentBytes
+from reachlink.limits import SHORT_BYTES, BytesInFlight
 
 MB = 1 << 20
 LONG = 3 * MB
 
 
 def test_no_long_request_to_a_replica_at_its_share():
-    sent = SentBytes(whole=8 * MB, least=MB)
+    sent = BytesInFlight(whole=8 * MB, least=MB)
     sent.add("r1", LONG)
     sent.add("r1", LONG)
     sent.add("r2", LONG)
-    assert sent.full(LONG, instances=1) == {"r1"}
-    assert sent.full(SHORT_BYTES, instances=1) == frozenset()
+    assert sent.replicas_without_room(LONG, instances=1) == {"r1"}
+    assert sent.replicas_without_room(SHORT_BYTES, instances=1) == frozenset()
     sent.remove("r1", LONG)
-    assert sent.full(LONG, instances=1) == frozenset()
+    assert sent.replicas_without_room(LONG, instances=1) == frozenset()
 
 
 def test_replica_without_requests_accepts_any_size():
-    sent = SentBytes(whole=MB, least=MB)
-    assert sent.full(LONG, instances=4) == frozenset()
+    sent = BytesInFlight(whole=MB, least=MB)
+    assert sent.replicas_without_room(LONG, instances=4) == frozenset()
     sent.add("r1", LONG)
     sent.remove("r1", LONG)
-    assert sent.at("r1") == 0 and sent.full(LONG, instances=4) == frozenset()
+    assert sent.bytes_at("r1") == 0 and sent.replicas_without_room(LONG, instances=4) == frozenset()
 
 
 def test_share_decreases_with_the_number_of_instances_to_a_minimum():
-    sent = SentBytes(whole=12 * MB, least=2 * MB)
+    sent = BytesInFlight(whole=12 * MB, least=2 * MB)
     sent.add("r1", LONG)
-    assert sent.full(LONG, instances=2) == frozenset()
-    assert sent.full(LONG, instances=4) == {"r1"}
+    assert sent.replicas_without_room(LONG, instances=2) == frozenset()
+    assert sent.replicas_without_room(LONG, instances=4) == {"r1"}
     sent.remove("r1", LONG)
     sent.add("r1", MB)
-    assert sent.full(MB, instances=1000) == frozenset()
+    assert sent.replicas_without_room(MB, instances=1000) == frozenset()
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -29,7 +29,7 @@
 
 
 def request(prompt: int = 100, **more) -> PlacementRequest:
-    return PlacementRequest(profile(prompt), prompt, CURVE.expected_more(0), **more)
+    return PlacementRequest(profile(prompt), prompt, CURVE.expected_remaining(0), **more)
 
 
 def candidate(name: str, running: int = 0, capacity: int = 16384, **more) -> Candidate:
--- a/reachlink/requests/_answer_body.py
+++ b/reachlink/requests/_answer_body.py
@@ -3,7 +3,7 @@
 import asyncio
 from collections.abc import Callable
 
-from reachlink.limits import HeldKind, Holding
+from reachlink.limits import BufferKind, CallerBuffer
 from reachlink.upstreams import RelayAnswer, UpstreamBrokenError
 
 # A whole answer larger than this, in bytes, is not held to be checked.
@@ -14,7 +14,7 @@
 
 async def read_whole(
     answer: RelayAnswer,
-    held: Holding | None = None,
+    held: CallerBuffer | None = None,
     on_wait: Callable[[], None] = lambda: None,
     previous_bytes: int = 0,
 ) -> bytes:
@@ -24,7 +24,7 @@
     ----------
     answer : RelayAnswer
         Whose body is unread.
-    held : Holding, optional
+    held : CallerBuffer, optional
         Counts what is held for the caller: where there is no room the replica waits.
     on_wait : callable
         Called where it does.
@@ -54,7 +54,7 @@
 
     Parameters
     ----------
-    held : Holding, optional
+    held : CallerBuffer, optional
         Counts it.
     on_wait : callable
         Called where there is no room at once.
@@ -63,23 +63,23 @@
     """
 
     def __init__(
-        self, held: Holding | None, on_wait: Callable[[], None], previous_bytes: int
+        self, held: CallerBuffer | None, on_wait: Callable[[], None], previous_bytes: int
     ) -> None:
         self._held = held
         self._on_wait = on_wait
         self._size = 0
         if held is not None:
             # An answer before this one was not given.
-            held.note(HeldKind.ANSWER, previous_bytes)
+            held.set_size(BufferKind.ANSWER, previous_bytes)
 
     async def reach(self, size: int) -> None:
         """Return when there is room for so many bytes in all."""
         more = size - self._size
         if self._held is None or more <= 0:
             return
-        if not self._held.could_ever(more):
+        if not self._held.fits_caller_limit(more):
             raise UpstreamBrokenError("the answer is too long for what one caller may hold")
-        while not self._held.take(HeldKind.ANSWER, more):
+        while not self._held.reserve(BufferKind.ANSWER, more):
             self._on_wait()
             await asyncio.sleep(BUFFER_POLL_INTERVAL_S)
         self._size = size
--- a/reachlink/requests/_flights.py
+++ b/reachlink/requests/_flights.py
@@ -1,6 +1,6 @@
 """Allocations of this instance's requests at replicas, and the bytes that replicas hold."""
 
-from reachlink.limits import SentBytes
+from reachlink.limits import BytesInFlight
 from reachlink.requests._book import Flight
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._needs import need_tokens
@@ -22,7 +22,7 @@
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
-        self._sent = SentBytes()
+        self._sent = BytesInFlight()
 
     def add(
         self, request: CallerRequest, replica: Replica, reads: bool = True, copy: bool = False
@@ -62,7 +62,7 @@
 
     def full(self, size: int) -> frozenset[str]:
         """Return the replicas whose limit of bytes from this instance `size` would exceed."""
-        return self._sent.full(size, self._parts.instance_count())
+        return self._sent.replicas_without_room(size, self._parts.instance_count())
 
     def has_read(self, flight: Flight) -> None:
         """Record that a replica has processed a request's prompt."""
--- a/reachlink/requests/_model.py
+++ b/reachlink/requests/_model.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from reachlink.limits import Holding
+from reachlink.limits import CallerBuffer
 from reachlink.pacing import Hold
 from reachlink.routing import Route, Service
 from reachlink.scheduling import Refuse
@@ -32,7 +32,7 @@
         Why and until when there is no place for it, as the line's owner says.
     last_hold : Hold, optional
         Why its replicas got nothing as it was last looked for one.
-    caller_buffer : Holding, optional
+    caller_buffer : CallerBuffer, optional
         Counts what is held for its caller; None where nobody counts.
     """
 
@@ -44,7 +44,7 @@
     zones: frozenset[str] | None = None
     refusal: Refuse | None = None
     last_hold: Hold | None = None
-    caller_buffer: Holding | None = None
+    caller_buffer: CallerBuffer | None = None
 
     @property
     def request_id(self) -> str:
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -45,7 +45,7 @@
 
     def has_retry_left(self, service: Service) -> bool:
         """Return whether a request of a service could be sent once more."""
-        return self._budget(service).has_one
+        return self._budget(service).has_retry
 
     def may_retry(
         self,
--- a/reachlink/requests/_whole_answers.py
+++ b/reachlink/requests/_whole_answers.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from reachlink.limits import HeldKind
+from reachlink.limits import BufferKind
 from reachlink.requests._answer_body import read_whole
 from reachlink.requests._attempts import AttemptFailure, AttemptLog, pacing_failure
 from reachlink.requests._model import AnswerSink, CallerRequest
@@ -113,7 +113,7 @@
 def _record_buffered(request: CallerRequest, body: bytes) -> None:
     """Count an answer that is kept: one before it is kept no longer."""
     if request.caller_buffer is not None:
-        request.caller_buffer.note(HeldKind.ANSWER, len(body))
+        request.caller_buffer.set_size(BufferKind.ANSWER, len(body))
 
 
 class _BufferWait:
--- a/reachlink/requests/tests/test_homes.py
+++ b/reachlink/requests/tests/test_homes.py
@@ -8,7 +8,7 @@
 from reachlink.delivery import Outcome
 from reachlink.requests import RequestFailedError
 from reachlink.requests.tests.world import MemorySink, World, answering, everywhere, stream, until
-from reachlink.routing import RequestKind, Route, Workspace, home_regions
+from reachlink.routing import RequestKind, Route, Workspace, allowed_regions
 from reachlink.upstreams import MovedMemory, MoveResult
 
 
@@ -17,12 +17,12 @@
 
 
 def test_both_homes_bind():
-    assert home_regions(route(), Workspace("w", ())) is None
-    assert home_regions(route(), None) is None
-    assert home_regions(route("north", "south"), Workspace("w", ())) == {"north", "south"}
+    assert allowed_regions(route(), Workspace("w", ())) is None
+    assert allowed_regions(route(), None) is None
+    assert allowed_regions(route("north", "south"), Workspace("w", ())) == {"north", "south"}
     north = Workspace("w", (), regions=("north",))
-    assert home_regions(route("north", "south"), north) == {"north"}
-    assert home_regions(route("south"), north) == frozenset()
+    assert allowed_regions(route("north", "south"), north) == {"north"}
+    assert allowed_regions(route("south"), north) == frozenset()
 
 
 async def run(made: World, zones: Set[str]) -> MemorySink:
--- a/reachlink/requests/tests/test_paces_beside_room.py
+++ b/reachlink/requests/tests/test_paces_beside_room.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from reachlink.limits import HeldBytes, HeldKind, Holding
+from reachlink.limits import BufferBudget, BufferKind, CallerBuffer
 from reachlink.requests.tests.test_paces import loop_time, paces, telling
 from reachlink.requests.tests.world import MemorySink, World, world
 from reachlink.routing import RequestKind
@@ -20,11 +20,11 @@
     monkeypatch.setattr("reachlink.requests.tests.world.steady_time", loop_time)
 
 
-async def call(made: World, budget: HeldBytes) -> None:
+async def call(made: World, budget: BufferBudget) -> None:
     request = made.request(RequestKind.REPEATABLE)
     request.route = replace(request.route, timeout_s=60.0)
     request.caller_timeout_s = 60.0
-    request.caller_buffer = Holding(budget)
+    request.caller_buffer = CallerBuffer(budget)
     await made.runner.run(request, MemorySink())
     request.caller_buffer.release()
 
@@ -38,15 +38,15 @@
     )
     made.parts.clock = loop_time
     made.book.paces.note_told("plain", "p1", 1.0, -1.0)
-    budget = HeldBytes(6 * MB)
+    budget = BufferBudget(6 * MB)
 
     async def work() -> float:
         for _ in range(20):
             # Room for short answers only, for a while.
-            budget.change(HeldKind.REQUEST, 5 * MB + MB // 2)
+            budget.adjust(BufferKind.REQUEST, 5 * MB + MB // 2)
             calling = asyncio.create_task(call(made, budget))
             await asyncio.sleep(0.4)
-            budget.change(HeldKind.REQUEST, -(5 * MB + MB // 2))
+            budget.adjust(BufferKind.REQUEST, -(5 * MB + MB // 2))
             await calling
         return loop_time()
 
--- a/reachlink/requests/tests/test_replica_bytes.py
+++ b/reachlink/requests/tests/test_replica_bytes.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from reachlink.limits import HeldBytes, HeldKind, Holding
+from reachlink.limits import BufferBudget, BufferKind, CallerBuffer
 from reachlink.requests import CallerRequest, RequestFailedError
 from reachlink.requests.tests.world import (
     Dispatched,
@@ -99,20 +99,20 @@
 def test_an_answer_waits_for_room_without_fault_of_its_replica():
     async def work() -> None:
         world = world_of(answering(200, b"a" * MB, b"b" * MB, length=2 * MB))
-        budget = HeldBytes(6 * MB)
-        budget.change(HeldKind.REQUEST, 5 * MB)
+        budget = BufferBudget(6 * MB)
+        budget.adjust(BufferKind.REQUEST, 5 * MB)
         request = patient(world, RequestKind.REPEATABLE)
-        request.caller_buffer = Holding(budget)
+        request.caller_buffer = CallerBuffer(budget)
         sink = MemorySink()
         running = asyncio.create_task(world.runner.run(request, sink))
         await until(lambda: len(world.adapter.sent) == 1)
         # Longer than the replica has for its answer.
         await asyncio.sleep(request.route.objective_s * 1.5)
         assert not sink.ended and len(world.adapter.sent) == 1
-        budget.change(HeldKind.REQUEST, -5 * MB)
+        budget.adjust(BufferKind.REQUEST, -5 * MB)
         await running
         assert sink.body == b"a" * MB + b"b" * MB
-        assert budget.of(HeldKind.ANSWER) == 2 * MB
+        assert budget.bytes_of(BufferKind.ANSWER) == 2 * MB
         assert world.book.state("p1").health.failures == 0.0
 
     asyncio.run(work())
@@ -122,7 +122,7 @@
     async def work() -> None:
         world = world_of(answering(200, b"a" * (3 * MB)))
         request = patient(world, RequestKind.ONCE)
-        request.caller_buffer = Holding(HeldBytes(6 * MB))
+        request.caller_buffer = CallerBuffer(BufferBudget(6 * MB))
         with pytest.raises(RequestFailedError) as failed:
             await world.runner.run(request, MemorySink())
         assert (failed.value.status, failed.value.outcome.value) == (502, "unknown")
@@ -140,17 +140,17 @@
             return MemoryAnswer(AnswerHead(500 if first else 200), [b"a" * MB, 0.05])
 
         world = world_of(script)
-        budget = HeldBytes(12 * MB)
+        budget = BufferBudget(12 * MB)
         request = patient(world, RequestKind.REPEATABLE)
-        request.caller_buffer = Holding(budget)
+        request.caller_buffer = CallerBuffer(budget)
         sink = MemorySink()
         running = asyncio.create_task(world.runner.run(request, sink))
         most = 0
         while not running.done():
-            most = max(most, budget.of(HeldKind.ANSWER))
+            most = max(most, budget.bytes_of(BufferKind.ANSWER))
             await asyncio.sleep(0.001)
         await running
         assert sink.body == b"a" * MB and len(asked) == 2
-        assert (most, budget.of(HeldKind.ANSWER)) == (2 * MB, MB)
+        assert (most, budget.bytes_of(BufferKind.ANSWER)) == (2 * MB, MB)
 
     asyncio.run(work())
--- a/reachlink/routing/__init__.py
+++ b/reachlink/routing/__init__.py
@@ -7,9 +7,9 @@
     TableFormat,
     TableOutline,
     TableReader,
-    decode_or_refuse,
+    decode_or_raise,
 )
-from reachlink.routing._homes import home_regions
+from reachlink.routing._homes import allowed_regions
 from reachlink.routing._index import RoutingIndex
 from reachlink.routing._patch import TablePatch, apply_patches, patch_between
 from reachlink.routing._table import (
@@ -47,7 +47,7 @@
     "Workspace",
     "apply_patches",
     "check_table",
-    "decode_or_refuse",
-    "home_regions",
+    "decode_or_raise",
+    "allowed_regions",
     "patch_between",
 ]
--- a/reachlink/routing/_formats.py
+++ b/reachlink/routing/_formats.py
@@ -157,7 +157,7 @@
 
     def outline(self, document: bytes) -> TableOutline:
         """See `TableFormat`."""
-        found = decode_or_refuse(self._outline, document)
+        found = decode_or_raise(self._outline, document)
         table = RoutingTable(
             found.number,
             services=tuple(found.services),
@@ -168,11 +168,11 @@
 
     def route(self, place: str, written: bytes) -> Route:
         """See `TableFormat`."""
-        route: Route = decode_or_refuse(self._route, written, place)
+        route: Route = decode_or_raise(self._route, written, place)
         return route
 
 
-def decode_or_refuse(decode: Any, written: bytes, place: str = "") -> Any:
+def decode_or_raise(decode: Any, written: bytes, place: str = "") -> Any:
     """Return the result of a decoder for a text.
 
     Parameters
--- a/reachlink/routing/_homes.py
+++ b/reachlink/routing/_homes.py
@@ -3,7 +3,7 @@
 from reachlink.routing._table import Route, Workspace
 
 
-def home_regions(route: Route | None, workspace: Workspace | None) -> frozenset[str] | None:
+def allowed_regions(route: Route | None, workspace: Workspace | None) -> frozenset[str] | None:
     """Return the regions in which a request may run, or None if it may run in any region.
 
     If both its route and its workspace restrict the regions, both restrictions apply. The result
@@ -12,7 +12,7 @@
     Examples
     --------
     >>> workspace = Workspace("w", (), regions=("north", "south"))
-    >>> sorted(home_regions(None, workspace))
+    >>> sorted(allowed_regions(None, workspace))
     ['north', 'south']
     """
     bound = [frozenset(named.regions) for named in (route, workspace) if named and named.regions]
