--- a/benchmarks/bench_paces.py
+++ b/benchmarks/bench_paces.py
@@ -14,7 +14,7 @@
 from reachlink.coordination.tests.world import Instance, Network
 from reachlink.membership import ListedInstance
 from reachlink.messaging import encode
-from reachlink.scheduling import Kin, PaceBelief, PaceBook
+from reachlink.scheduling import PaceEstimate, PaceTracker, ServicePace
 from reachlink.scheduling.tests.test_paces import Machine
 
 SERVICE = "chat"
@@ -98,25 +98,25 @@
 
 def own_looks() -> Way:
     """Believe the looks at each replica by itself."""
-    beliefs: dict[str, PaceBelief] = {}
+    beliefs: dict[str, PaceEstimate] = {}
 
     def way(life: str, pace: float, now: float) -> tuple[float, float]:
-        belief = beliefs.setdefault(life, PaceBelief(Kin()))
-        belief.note_told(pace, now)
+        belief = beliefs.setdefault(life, PaceEstimate(ServicePace()))
+        belief.record_reported(pace, now)
         found = belief.pace(now + LATER_S)
-        return found.steady, found.moment
+        return found.steady, found.momentary
 
     return way
 
 
 def looks_and_kin() -> Way:
     """Believe them together with what others of the service show."""
-    book = PaceBook()
+    book = PaceTracker()
 
     def way(life: str, pace: float, now: float) -> tuple[float, float]:
-        book.note_told(SERVICE, life, pace, now)
+        book.record_reported(SERVICE, life, pace, now)
         found = book.pace(life, now + LATER_S)
-        return found.steady, found.moment
+        return found.steady, found.momentary
 
     return way
 
@@ -162,7 +162,7 @@
         instance.directory.update(listed.values(), 0.0)
     for told in stream:
         network.now = told.at
-        random.choice(others).book.paces.note_told(SERVICE, told.life, told.pace, told.at)
+        random.choice(others).book.paces.record_reported(SERVICE, told.life, told.pace, told.at)
         if told.at - looked_at < 0.25:
             continue
         looked_at = told.at
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -9,7 +9,7 @@
 from reachlink.pacing import LimitUpdate
 from reachlink.quarantine import QuarantineNote
 from reachlink.requests import ListedReplica, LoadNote, ReplicaNews, ReplicaOutcome, ReplicaShare
-from reachlink.scheduling import PaceNote
+from reachlink.scheduling import PaceUpdate
 
 CHANNEL_MEMBER = "member"
 """One-way: a `MemberNote`. Call: the same, answered with a `Picture`."""
@@ -93,7 +93,7 @@
         What the coordinator learned of crashes lately.
     limits : list of LimitUpdate
         What replicas take from all instances together, of those that have said so.
-    paces : list of PaceNote
+    paces : list of PaceUpdate
         How fast replicas work, where that is news to the member.
     """
 
@@ -109,4 +109,4 @@
     cold: dict[str, float] = {}
     quarantine: QuarantineNote = QuarantineNote()
     limits: list[LimitUpdate] = []
-    paces: list[PaceNote] = []
+    paces: list[PaceUpdate] = []
--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -6,7 +6,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
-from reachlink.scheduling import PaceBook, PaceNote, PaceSource, pace_note
+from reachlink.scheduling import PaceSource, PaceTracker, PaceUpdate, make_pace_update
 
 # Paces in one note at the most: some 60 B each.
 MAX_NOTES = 16
@@ -15,7 +15,7 @@
 # Who was told what is kept of so many: well above the members of one coordinator.
 MAX_RECIPIENTS = 500
 
-OWN_SOURCES = (PaceSource.TOLD, PaceSource.SEEN)
+OWN_SOURCES = (PaceSource.REPORTED, PaceSource.MEASURED)
 PEER_SOURCES = (*OWN_SOURCES, PaceSource.MEMBER)
 ALL_SOURCES = (*PEER_SOURCES, PaceSource.COORDINATOR)
 # The other coordinators, who all get the same note.
@@ -49,7 +49,7 @@
 
     Parameters
     ----------
-    book : PaceBook
+    book : PaceTracker
         What this instance believes.
     directory : ReplicaDirectory
         The replicas, and when they started.
@@ -59,7 +59,7 @@
 
     def __init__(
         self,
-        book: PaceBook,
+        book: PaceTracker,
         directory: ReplicaDirectory,
         clock: Callable[[], float] = steady_time,
     ) -> None:
@@ -68,37 +68,37 @@
         self._clock = clock
         self._recipients: OrderedDict[str, _Recipient] = OrderedDict()
 
-    def for_coordinator(self, name: str) -> list[PaceNote]:
+    def for_coordinator(self, name: str) -> list[PaceUpdate]:
         """Return what this member tells the coordinator that it follows."""
         return self._notes(name, OWN_SOURCES)
 
-    def for_peers(self) -> list[PaceNote]:
+    def for_peers(self) -> list[PaceUpdate]:
         """Return what this coordinator tells the others."""
         return self._notes(PEERS_KEY, PEER_SOURCES)
 
-    def for_member(self, name: str, new: bool = False) -> list[PaceNote]:
+    def for_member(self, name: str, new: bool = False) -> list[PaceUpdate]:
         """Return what this coordinator tells a member, all of it to one that is new."""
         if new:
             self._recipients.pop(name, None)
         return self._notes(name, ALL_SOURCES)
 
-    def take_from_member(self, name: str, notes: Iterable[PaceNote]) -> None:
+    def take_from_member(self, name: str, notes: Iterable[PaceUpdate]) -> None:
         """Take what a member tells."""
         self._apply(notes, PaceSource.MEMBER, name)
 
-    def take_from_coordinator(self, name: str, notes: Iterable[PaceNote]) -> None:
+    def take_from_coordinator(self, name: str, notes: Iterable[PaceUpdate]) -> None:
         """Take what a coordinator tells, its members or the others."""
         self._apply(notes, PaceSource.COORDINATOR, name)
 
-    def _notes(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceNote]:
+    def _notes(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceUpdate]:
         now = self._clock()
         known = self._recipient(recipient, now)
         known.sent_up_to, replicas = self._book.changed_since(
-            known.sent_up_to, sources, MAX_NOTES, without=recipient
+            known.sent_up_to, sources, MAX_NOTES, excluded_sender=recipient
         )
         replicas += self._resent(known, sources, replicas, recipient)
         return [
-            pace_note(name, self._book.observed(name, now), self._directory.born(name))
+            make_pace_update(name, self._book.observed(name, now), self._directory.born(name))
             for name in replicas
         ]
 
@@ -110,7 +110,7 @@
         if known.resent_up_to is None or not room:
             return []
         known.resent_up_to, replicas = self._book.changed_since(
-            known.resent_up_to, sources, room, without=recipient
+            known.resent_up_to, sources, room, excluded_sender=recipient
         )
         if known.resent_up_to >= known.sent_up_to:
             known.resent_up_to = None
@@ -128,15 +128,17 @@
             self._recipients.move_to_end(name)
         return found
 
-    def _apply(self, notes: Iterable[PaceNote], source: PaceSource, sender: str) -> None:
+    def _apply(self, notes: Iterable[PaceUpdate], source: PaceSource, sender: str) -> None:
         now = self._clock()
         for note in notes:
             replica = self._directory.find(note.replica)
             if replica is None or not self._is_current_lifetime(note, now):
                 continue
-            self._book.hear(replica.upstream, note.replica, note.heard(now), source, sender, now)
+            self._book.record_peer(
+                replica.upstream, note.replica, note.to_peer_pace(now), source, sender, now
+            )
 
-    def _is_current_lifetime(self, note: PaceNote, now: float) -> bool:
+    def _is_current_lifetime(self, note: PaceUpdate, now: float) -> bool:
         """Return whether a note is of a replica's present lifetime, be it news that it is one."""
         if 0 < note.born < self._directory.born(note.replica):
             return False
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -10,20 +10,20 @@
 from reachlink.membership import ListedInstance
 from reachlink.messaging import decode, encode
 from reachlink.requests import LoadNote
-from reachlink.scheduling import PaceNote
+from reachlink.scheduling import PaceUpdate
 
 SERVICE = "chat"
 
 
 def tell(instance: Instance, replica: str, pace: float) -> None:
-    instance.book.paces.note_told(SERVICE, replica, pace, instance.clock())
+    instance.book.paces.record_reported(SERVICE, replica, pace, instance.clock())
 
 
 def steady(instance: Instance, replica: str) -> float:
     return instance.book.paces.pace(replica, instance.clock()).steady
 
 
-def to_peer(teller: Instance, listener: Instance) -> list[PaceNote]:
+def to_peer(teller: Instance, listener: Instance) -> list[PaceUpdate]:
     """Pass on over the wire what one coordinator tells another."""
     note = LoadNote(teller.record.name, [], paces=teller.paces.for_peers())
     note = decode(encode(note), LoadNote)
@@ -54,9 +54,9 @@
 
     network, *instances = asyncio.run(play())
     for instance in instances:
-        pace = instance.book.paces.pace_in(SERVICE, "r1", network.now)
+        pace = instance.book.paces.pace_if_reported(SERVICE, "r1", network.now)
         assert (pace.steady, pace.age_s) == (0.55, pytest.approx(3.0))
-        assert instance.book.paces.is_told(SERVICE)
+        assert instance.book.paces.is_reported(SERVICE)
 
 
 def test_what_has_not_changed_is_told_once_and_not_to_who_told_it():
@@ -109,10 +109,10 @@
 def test_notes_that_overtake_each_other_leave_the_newest():
     network, (c1, c2), _ = fleet()
     for pace, age_ms in ((55, 1_000), (120, 5_000), (55, 1_000)):
-        c2.paces.take_from_coordinator("c1", [PaceNote("r1", pace, age_ms=age_ms)])
+        c2.paces.take_from_coordinator("c1", [PaceUpdate("r1", pace, age_ms=age_ms)])
     assert steady(c2, "r1") == 0.55
     network.now += 3.0
-    c2.paces.take_from_coordinator("c3", [PaceNote("r1", 200, age_ms=9_000)])
+    c2.paces.take_from_coordinator("c3", [PaceUpdate("r1", 200, age_ms=9_000)])
     assert c2.book.paces.pace("r1", network.now).age_s == pytest.approx(4.0)
 
 
@@ -121,10 +121,10 @@
     started: list[str] = []
     c1.directory.on_started_again(lambda name: (started.append(name), c1.book.start_again(name)))
     c1.directory.note_born("r1", 2_000, c1.clock())
-    c1.paces.take_from_coordinator("c2", [PaceNote("r1", 55, born=1_000)])
+    c1.paces.take_from_coordinator("c2", [PaceUpdate("r1", 55, born=1_000)])
     assert (steady(c1, "r1"), started) == (1.0, [])
     tell(c1, "r1", 0.55)
-    c1.paces.take_from_coordinator("c2", [PaceNote("r1", 120, age_ms=500, born=3_000)])
+    c1.paces.take_from_coordinator("c2", [PaceUpdate("r1", 120, age_ms=500, born=3_000)])
     assert (steady(c1, "r1"), started) == (1.2, ["r1"])
 
 
@@ -133,7 +133,7 @@
     for _ in range(5):
         network.now += 0.3
         tell(c2, "r1", 1.2)
-    c2.paces.take_from_coordinator("c1", [PaceNote("r1", 55)])
+    c2.paces.take_from_coordinator("c1", [PaceUpdate("r1", 55)])
     assert steady(c2, "r1") == 1.2
 
 
@@ -143,10 +143,10 @@
     network.now += 0.3
     tell(c1, "r1", 1.375)
     to_peer(c1, c2)
-    assert c2.book.paces.pace("r1", network.now).moment == pytest.approx(2.5)
+    assert c2.book.paces.pace("r1", network.now).momentary == pytest.approx(2.5)
     network.now += 60.0
     pace = c2.book.paces.pace("r1", network.now)
-    assert (pace.steady, pace.moment, pace.age_s) == (0.55, 1.0, pytest.approx(60.0))
+    assert (pace.steady, pace.momentary, pace.age_s) == (0.55, 1.0, pytest.approx(60.0))
 
 
 def test_a_note_holds_a_bounded_number_and_the_next_one_goes_on():
@@ -162,15 +162,15 @@
 
 def test_replicas_that_are_not_known_here_are_passed_over():
     c1 = alone()
-    c1.paces.take_from_member("m1", [PaceNote("r99", 55), PaceNote("r1", 55)])
+    c1.paces.take_from_member("m1", [PaceUpdate("r99", 55), PaceUpdate("r1", 55)])
     assert (c1.book.paces.count, steady(c1, "r1")) == (1, 0.55)
 
 
 def test_figures_out_of_bounds_are_taken_into_them():
     c1 = alone()
-    c1.paces.take_from_member("m1", [PaceNote("r1", 10**9, 0, -100, -300, -5_000)])
+    c1.paces.take_from_member("m1", [PaceUpdate("r1", 10**9, 0, -100, -300, -5_000)])
     pace = c1.book.paces.pace("r1", c1.clock())
-    assert (pace.steady, pace.worst, pace.bad_share, pace.age_s) == (8.0, 1.0, 0.0, 0.0)
+    assert (pace.steady, pace.slow_factor, pace.slow_share, pace.age_s) == (8.0, 1.0, 0.0, 0.0)
 
 
 def test_memory_of_who_was_told_is_bounded():
@@ -202,7 +202,7 @@
         # Until all notes there were to begin with are told again, and between.
         for _ in range(int(0.8 * RESEND_INTERVAL_S / every_s)):
             notes()
-        c1.book.paces.start_again(f"r{number}")
+        c1.book.paces.reset_replica(f"r{number}")
         tell(c1, f"r{number}", 2.4)
         assert f"r{number}" in notes()
     told: set[str] = set()
--- a/reachlink/entry/_pace_log.py
+++ b/reachlink/entry/_pace_log.py
@@ -5,7 +5,7 @@
 
 from reachlink.entry._log_lines import LogLines
 from reachlink.kernel import steady_time
-from reachlink.scheduling import PaceChange, PaceSource, apart
+from reachlink.scheduling import PaceChange, PaceSource, differ_by_factor
 from reachlink.telemetry import get_logger
 
 # By which factor what lasts must change to be logged.
@@ -30,7 +30,9 @@
     def note(self, change: PaceChange) -> None:
         """Log a change, if it is one of what lasts."""
         pace = change.pace
-        if change.before is not None and not apart(pace.steady, change.before, LOGGED_FACTOR):
+        if change.before is not None and not differ_by_factor(
+            pace.steady, change.before, LOGGED_FACTOR
+        ):
             return
         if not self._lines.admit():
             return
@@ -40,7 +42,7 @@
             service=change.service,
             steady=round(pace.steady, 3),
             before=round(change.before, 3) if change.before is not None else None,
-            moment=round(pace.moment, 2),
+            moment=round(pace.momentary, 2),
             source=_word(change.source),
             age_ms=round(1000.0 * pace.age_s),
             unlogged=self._lines.skipped(),
@@ -49,5 +51,5 @@
 
 def _word(source: PaceSource) -> str:
     """Return whether a belief comes from the replica, from what was seen, or from a note."""
-    own = (PaceSource.TOLD, PaceSource.SEEN)
+    own = (PaceSource.REPORTED, PaceSource.MEASURED)
     return source.value if source in own else "note"
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -46,7 +46,7 @@
     SharedLoad,
 )
 from reachlink.routing import RequestKind, RoutingIndex, Service
-from reachlink.scheduling import PaceBook
+from reachlink.scheduling import PaceTracker
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import RELAY_ADAPTERS, HttpClient
 
@@ -73,7 +73,7 @@
         self.directory = ReplicaDirectory(
             unconfirmed_mark_s=config.leaving_mark_s, pacing=self.client.pacing
         )
-        self.book = ReplicaBook(PaceBook(config.scheduling.pace))
+        self.book = ReplicaBook(PaceTracker(config.scheduling.pace))
         self.shared = SharedLoad()
         self.quarantine = Quarantine(Random(), config.crashes_to_hold, config.crashes_kept_s)
         self.crash_news = QuarantineExchange(self.bus, self.quarantine, Random())
@@ -86,7 +86,7 @@
             Random(),
             lambda outcome: self.metrics.permits.add(1, {"outcome": outcome}),
         )
-        self.book.paces.listen(PaceLog().note)
+        self.book.paces.add_listener(PaceLog().note)
         self.paces = PaceExchange(self.book.paces, self.directory)
         self.client.gate = self.limits
         self.client.on_limit = self._tell_at_once
--- a/reachlink/entry/_report_reader.py
+++ b/reachlink/entry/_report_reader.py
@@ -199,7 +199,7 @@
             return
         if 0 < report.born < self._directory.born(replica.name):
             return
-        self._book.paces.note_told(replica.upstream, replica.name, report.load.pace, now)
+        self._book.paces.record_reported(replica.upstream, replica.name, report.load.pace, now)
 
     def _note(self, news: ReplicaNews, read_at: float) -> None:
         if news.gone:
--- a/reachlink/requests/_book.py
+++ b/reachlink/requests/_book.py
@@ -16,7 +16,7 @@
     ReplicaOutcome,
     ReplicaShare,
 )
-from reachlink.scheduling import PaceBook
+from reachlink.scheduling import PaceTracker
 from reachlink.upstreams import LoadSample
 
 # Age in seconds beyond which a load sample is ignored as out of date.
@@ -244,18 +244,18 @@
 
     Parameters
     ----------
-    paces : PaceBook, optional
+    paces : PaceTracker, optional
         Estimates of the replicas' pace; by default a new, empty one.
     """
 
-    def __init__(self, paces: PaceBook | None = None) -> None:
-        self._paces = paces or PaceBook()
+    def __init__(self, paces: PaceTracker | None = None) -> None:
+        self._paces = paces or PaceTracker()
         self._states: dict[str, ReplicaState] = {}
         self._listeners: list[Callable[[], None]] = []
         self._outcomes: deque[ReplicaOutcome] = deque(maxlen=MAX_QUEUED_OUTCOMES)
 
     @property
-    def paces(self) -> PaceBook:
+    def paces(self) -> PaceTracker:
         """Estimates of the replicas' pace."""
         return self._paces
 
@@ -305,7 +305,7 @@
         before = self._states.get(replica)
         if before is not None:
             self._states[replica] = ReplicaState(flights=before.flights)
-        self._paces.start_again(replica)
+        self._paces.reset_replica(replica)
 
     def touch(self) -> None:
         """Call the listeners: something changed that other instances should learn soon."""
--- a/reachlink/requests/_load_notes.py
+++ b/reachlink/requests/_load_notes.py
@@ -8,7 +8,7 @@
 
 from reachlink.pacing import LimitUpdate
 from reachlink.quarantine import QuarantineNote
-from reachlink.scheduling import PaceNote
+from reachlink.scheduling import PaceUpdate
 
 # How long after its expected time a generation may still resume at another replica, in
 # seconds: covers the error of the expected time and the time of its first event there.
@@ -183,7 +183,7 @@
         Recent information on crashes.
     limits : list of LimitUpdate
         Rate limits that replicas announced for all instances together.
-    paces : list of PaceNote
+    paces : list of PaceUpdate
         Pace of replicas, as far as it is new to the receiver.
     """
 
@@ -193,7 +193,7 @@
     listed: list[ListedReplica] = []
     quarantine: QuarantineNote = QuarantineNote()
     limits: list[LimitUpdate] = []
-    paces: list[PaceNote] = []
+    paces: list[PaceUpdate] = []
 
 
 def total(shares: list[ReplicaShare]) -> ReplicaShare:
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -104,4 +104,4 @@
         parts = self._parts
         if not parts.scheduling.pace:
             return None
-        return parts.book.paces.pace_in(service.name, replica.name, now)
+        return parts.book.paces.pace_if_reported(service.name, replica.name, now)
--- a/reachlink/requests/_replica_pace.py
+++ b/reachlink/requests/_replica_pace.py
@@ -2,7 +2,7 @@
 
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._parts import RunnerParts
-from reachlink.scheduling import usual_event_s
+from reachlink.scheduling import nominal_event_interval_s
 from reachlink.upstreams import LoadSample, Replica
 
 
@@ -23,7 +23,7 @@
         book = self._parts.book
         book.state(replica.name).take_sample(load, now)
         if load.pace is not None:
-            book.paces.note_told(replica.upstream, replica.name, load.pace, now)
+            book.paces.record_reported(replica.upstream, replica.name, load.pace, now)
 
     def reads_beside(self, replica: Replica) -> bool:
         """Return whether a replica has prompts to process, which delay its generations."""
@@ -51,8 +51,8 @@
         state = parts.book.state(replica.name)
         others = parts.shared.at(replica.name, now).running
         running = state.running(now, state.own_running + others)
-        usual_s = usual_event_s(running, engine.tokens_per_event)
-        parts.book.paces.note_seen(replica.upstream, replica.name, event_s / usual_s, now)
+        usual_s = nominal_event_interval_s(running, engine.tokens_per_event)
+        parts.book.paces.record_measured(replica.upstream, replica.name, event_s / usual_s, now)
 
     def note_call(self, request: CallerRequest, replica: Replica, sent_at: float) -> None:
         """Record the duration of a call that ended, or was given up, at its replica.
@@ -72,6 +72,6 @@
         parts, now = self._parts, self._parts.clock()
         if request.service.engine is not None or parts.book.state(replica.name).has_waiting(now):
             return
-        parts.book.paces.note_call(
+        parts.book.paces.record_call(
             replica.upstream, request.route.name, replica.name, now - sent_at, now
         )
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -16,7 +16,7 @@
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._stream_times import StreamTimes
 from reachlink.requests.exceptions import StreamCutError
-from reachlink.scheduling import StreamRhythm
+from reachlink.scheduling import EventIntervalMeter
 from reachlink.upstreams import (
     Continuation,
     EventSplitter,
@@ -78,7 +78,7 @@
         self._merger = EventMerger()
         self._places = GenerationPlaces(dispatch, request, self._merger)
         self._times = StreamTimes(request.arrived_at)
-        self._rhythm = StreamRhythm()
+        self._rhythm = EventIntervalMeter()
         # Whether its home had prompts to read as the last look at the rhythm ended.
         self._had_unread_prompts = True
         self._moves = 0
@@ -224,7 +224,7 @@
     def _reset_rhythm(self) -> None:
         """Forget the look at the rhythm, and the next one: what was held up comes at once."""
         self._had_unread_prompts = True
-        self._rhythm.begin_again()
+        self._rhythm.reset()
 
     async def _read(self, answer: RelayAnswer) -> bytes:
         """Return the next bytes; a silence that a copy can end is a break."""
@@ -263,7 +263,7 @@
         """Log a pause between events that is longer than the route promises."""
         now = self._dispatch.now()
         pause = self._times.note(self._merger.last_event_number, now)
-        event_s = self._rhythm.note(self._merger.last_event_number, now)
+        event_s = self._rhythm.record(self._merger.last_event_number, now)
         if event_s is not None:
             self._note_rhythm(event_s)
         if self._no_event_since_move:
--- a/reachlink/requests/tests/test_paces.py
+++ b/reachlink/requests/tests/test_paces.py
@@ -20,7 +20,7 @@
     world,
 )
 from reachlink.routing import RequestKind
-from reachlink.scheduling import USUAL, Pace, SchedulingSettings
+from reachlink.scheduling import NOMINAL_PACE, Pace, SchedulingSettings
 from reachlink.testing import run_virtually
 from reachlink.upstreams import AnswerHead, LoadSample
 
@@ -56,8 +56,11 @@
 
 def paces(made: World, service: str, names: str) -> list[float]:
     """Return what lasts at some replicas, which must be asked for."""
-    found = [made.book.paces.pace_in(service, name, made.parts.clock()) for name in names.split()]
-    return [(pace or USUAL).steady for pace in found]
+    found = [
+        made.book.paces.pace_if_reported(service, name, made.parts.clock())
+        for name in names.split()
+    ]
+    return [(pace or NOMINAL_PACE).steady for pace in found]
 
 
 def options(made: World) -> dict[str, Pace | None]:
@@ -79,7 +82,7 @@
     assert options(made) == {"p1": None, "p2": None}
     play(made, RequestKind.REPEATABLE, rounds=12)
     found = options(made)
-    assert [(found[name] or USUAL).steady for name in ("p1", "p2")] == [0.55, 1.2]
+    assert [(found[name] or NOMINAL_PACE).steady for name in ("p1", "p2")] == [0.55, 1.2]
 
 
 @pytest.mark.parametrize("pace,asked", [(None, True), (0.55, False)])
--- a/reachlink/scheduling/__init__.py
+++ b/reachlink/scheduling/__init__.py
@@ -8,12 +8,13 @@
 )
 from reachlink.scheduling._choice import choose_replica, prefill_ends_before_resume
 from reachlink.scheduling._duration import latest_start_s
+from reachlink.scheduling._event_interval import EventIntervalMeter, nominal_event_interval_s
 from reachlink.scheduling._forecast import ENGINE_SPEED, EngineSpeed, Forecast, forecast
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._pace import USUAL, Pace
-from reachlink.scheduling._pace_book import PaceBook, PaceChange, PaceSource, apart
-from reachlink.scheduling._pace_notes import PaceNote, pace_note
-from reachlink.scheduling._paces import HeardPace, Kin, PaceBelief
+from reachlink.scheduling._pace import NOMINAL_PACE, Pace
+from reachlink.scheduling._pace_estimate import PaceEstimate, PeerPace, ServicePace
+from reachlink.scheduling._pace_tracker import PaceChange, PaceSource, PaceTracker, differ_by_factor
+from reachlink.scheduling._pace_updates import PaceUpdate, make_pace_update
 from reachlink.scheduling._placement_rules import (
     DEPARTURE_COPY_RULES,
     LOCAL_COPY_RULES,
@@ -36,7 +37,6 @@
 )
 from reachlink.scheduling._replica_option import ReplicaOption
 from reachlink.scheduling._request_queue import MAX_QUEUED, QueuedRequest, RequestQueue
-from reachlink.scheduling._rhythm import StreamRhythm, usual_event_s
 from reachlink.scheduling._settings import SchedulingChoice, SchedulingSettings
 from reachlink.scheduling._start import Begin, Start, Wait, best_start
 
@@ -47,8 +47,8 @@
     "ENGINE_SPEED",
     "EngineSpeed",
     "Forecast",
-    "HeardPace",
-    "Kin",
+    "PeerPace",
+    "ServicePace",
     "QUEUED_RULES",
     "RequestQueue",
     "QueueState",
@@ -58,10 +58,10 @@
     "Need",
     "ReplicaOption",
     "Pace",
-    "PaceBelief",
-    "PaceBook",
+    "PaceEstimate",
+    "PaceTracker",
     "PaceChange",
-    "PaceNote",
+    "PaceUpdate",
     "PaceSource",
     "RetryReservation",
     "REQUEST_RULES",
@@ -73,20 +73,20 @@
     "SchedulingChoice",
     "SchedulingSettings",
     "Start",
-    "StreamRhythm",
+    "EventIntervalMeter",
     "PlacementRules",
-    "USUAL",
+    "NOMINAL_PACE",
     "Wait",
     "QueuedRequest",
-    "apart",
+    "differ_by_factor",
     "best_start",
     "choose_replica",
     "fair_share",
     "expected_wait_s",
     "forecast",
     "prefill_ends_before_resume",
-    "pace_note",
-    "usual_event_s",
+    "make_pace_update",
+    "nominal_event_interval_s",
     "is_over_share",
     "latest_start_s",
     "max_retry_after_s",
--- a/reachlink/scheduling/_rhythm.py
+++ b/reachlink/scheduling/_event_interval.py
@@ -1,10 +1,10 @@
 """Intervals between the events of a running stream; free of I/O and clocks."""
 
 from reachlink.scheduling._forecast import ENGINE_SPEED, EngineSpeed
-from reachlink.scheduling._looks import LOOK_S
+from reachlink.scheduling._observation_windows import WINDOW_S
 
 
-def usual_event_s(
+def nominal_event_interval_s(
     running: int, tokens_per_event: int = 1, speed: EngineSpeed = ENGINE_SPEED
 ) -> float:
     """Return the time between two events at an engine of nominal pace, in seconds.
@@ -21,28 +21,28 @@
     return max(1, tokens_per_event) * (speed.step_base_s + speed.step_sequence_s * running)
 
 
-class StreamRhythm:
+class EventIntervalMeter:
     """Mean interval between the events of one stream, once per observation window.
 
     Examples
     --------
-    >>> rhythm = StreamRhythm()
-    >>> [rhythm.note(number, now=0.05 * number) for number in range(6)]
+    >>> meter = EventIntervalMeter()
+    >>> [meter.record(number, now=0.05 * number) for number in range(6)]
     [None, None, None, None, None, 0.05]
     """
 
-    __slots__ = ("_number", "_since")
+    __slots__ = ("_first_event", "_started_at")
 
     def __init__(self) -> None:
         # First event of the window, and its monotonic time in seconds.
-        self._number = -1
-        self._since = float("inf")
+        self._first_event = -1
+        self._started_at = float("inf")
 
-    def begin_again(self) -> None:
+    def reset(self) -> None:
         """Discard the window: the stream continues at another replica."""
-        self._since = float("inf")
+        self._started_at = float("inf")
 
-    def note(self, number: int, now: float) -> float | None:
+    def record(self, number: int, now: float) -> float | None:
         """Record that the events up to a number arrived.
 
         Parameters
@@ -57,9 +57,9 @@
         float or None
             Mean interval between events when the window ends, in seconds; None before.
         """
-        passed = now - self._since
-        if 0.0 <= passed < LOOK_S:
+        passed = now - self._started_at
+        if 0.0 <= passed < WINDOW_S:
             return None
-        events = number - self._number
-        self._number, self._since = number, now
+        events = number - self._first_event
+        self._first_event, self._started_at = number, now
         return passed / events if passed > 0.0 and events > 0 else None
--- a/reachlink/scheduling/_forecast.py
+++ b/reachlink/scheduling/_forecast.py
@@ -3,13 +3,13 @@
 from dataclasses import dataclass
 
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._pace import USUAL, Pace
+from reachlink.scheduling._pace import NOMINAL_PACE, Pace
 from reachlink.scheduling._replica_option import ReplicaOption
 
 # Duration of a slow phase, in which a noisy neighbor takes the processor, in seconds.
 SLOW_PHASE_S = 0.5
-# Multiple of the steady pace from which `Pace.moment` indicates a slow phase.
-BAD_FROM = 1.3
+# Multiple of the steady pace from which `Pace.momentary` indicates a slow phase.
+SLOW_FROM = 1.3
 # Bounds of the steady pace that is used for decisions, whatever a replica reports.
 MIN_STEADY = 0.5
 MAX_STEADY = 4.0
@@ -84,7 +84,7 @@
     >>> round(forecast(idle, Need(tokens=3700, prompt_tokens=3000)).first_event_s, 2)
     0.41
     """
-    pace = option.pace or USUAL
+    pace = option.pace or NOMINAL_PACE
     step_s = speed.step_base_s + speed.step_sequence_s * (option.running + 1)
     token_s = speed.prefill_token_s + step_s / speed.prefill_chunk_tokens
     work_s = (option.unread_tokens + need.prompt_tokens) * token_s + step_s
@@ -92,7 +92,7 @@
         work_s += slot_wait_s(option, step_s)
     steady = bounded_steady(pace.steady)
     pause_s = option.tokens_per_event * speed.prefill_chunk_tokens * token_s * steady
-    return Forecast(work_s * steady * pace.moment, pause_s, pause_s * pace.worst)
+    return Forecast(work_s * steady * pace.momentary, pause_s, pause_s * pace.slow_factor)
 
 
 def bounded_steady(steady: float) -> float:
@@ -138,14 +138,14 @@
 
     Examples
     --------
-    >>> calm = Pace(worst=2.5, bad_share=0.15, age_s=0.0)
+    >>> calm = Pace(slow_factor=2.5, slow_share=0.15, age_s=0.0)
     >>> round(slow_phase_probability(calm, 0.5), 2), round(slow_phase_probability(Pace(), 0.5), 2)
     (0.18, 0.0)
     """
-    share = min(pace.bad_share, 0.9)
+    share = min(pace.slow_share, 0.9)
     # The older the newest observation, the less it tells about the present phase.
     fresh = max(0.0, 1.0 - pace.age_s / SLOW_PHASE_S)
-    now = fresh * (pace.moment >= BAD_FROM) + (1.0 - fresh) * share
+    now = fresh * (pace.momentary >= SLOW_FROM) + (1.0 - fresh) * share
     begins = interval_s * share / ((1.0 - share) * SLOW_PHASE_S)
     return now + (1.0 - now) * min(1.0, begins)
 
@@ -164,14 +164,14 @@
     >>> round(plain_call_time(full), 2)
     1.29
     """
-    pace = option.pace or USUAL
+    pace = option.pace or NOMINAL_PACE
     slots = max(1, option.slots)
     known = 1.0 if pace.age_s > OWN_COUNTS_ONLY_S else max(0.0, 1.0 - pace.age_s / COUNTS_EXPIRY_S)
     wait = known * _slot_wait(option.running, slots)
     if known < 1.0 and option.own_running:
         # A replica that has stopped answering must not appear idle.
         wait = max(wait, _slot_wait(option.own_running, slots))
-    return (1.0 + wait) * bounded_steady(pace.steady) * pace.moment
+    return (1.0 + wait) * bounded_steady(pace.steady) * pace.momentary
 
 
 def _slot_wait(running: int, slots: int) -> float:
--- a/reachlink/scheduling/_loss.py
+++ b/reachlink/scheduling/_loss.py
@@ -18,7 +18,7 @@
 )
 from reachlink.scheduling._load import UNREAD_TOKENS_PER_LOAD
 from reachlink.scheduling._need import Need
-from reachlink.scheduling._pace import USUAL, Pace
+from reachlink.scheduling._pace import NOMINAL_PACE, Pace
 from reachlink.scheduling._placement_rules import PlacementRules
 from reachlink.scheduling._replica_option import ReplicaOption
 
@@ -91,18 +91,18 @@
 
     def expected_at(self, option: ReplicaOption) -> float:
         """Return the expected loss of a start at a model engine, in prompt tokens."""
-        pace = option.pace or USUAL
+        pace = option.pace or NOMINAL_PACE
         steady = pace.steady
         if not MIN_STEADY <= steady <= MAX_STEADY:
             steady = bounded_steady(steady)
-        worst = pace.worst
+        slow_factor = pace.slow_factor
         # Inlined for speed: each decision evaluates it for some dozen replicas.
         step_s = self._step_base_s + self._step_sequence_s * option.running
         token_s = self._prefill_token_s + step_s * self._inverse_chunk_tokens
         first_s = (option.unread_tokens + self._prompt_tokens) * token_s + step_s
         if option.running >= option.slots > 0:
             first_s += slot_wait_s(option, step_s)
-        first_s *= steady * pace.moment
+        first_s *= steady * pace.momentary
         pause_s = option.tokens_per_event * self._chunk_tokens * token_s * steady
         load = (option.tokens + option.copy_tokens + self._tokens) / option.capacity_tokens
         loss = (
@@ -112,9 +112,9 @@
         if not option.same_zone:
             loss += self._other_zone_loss
         late = 0.0
-        if first_s * worst > self._safe_first_event_s:
+        if first_s * slow_factor > self._safe_first_event_s:
             late = self._late_chance(pace, first_s)
-        if pause_s * worst <= self._safe_pause_s:
+        if pause_s * slow_factor <= self._safe_pause_s:
             return loss + late * self._work
         run_s = self._output_tokens * step_s * steady
         prefill_s = self._prompt_tokens * token_s * steady
@@ -126,7 +126,7 @@
             return 0.0
         late = ramp(first_s / self._first_event_due_in_s, FIRST_EVENT_MARGIN)
         # A slow phase that begins meanwhile delays the work only while the phase lasts.
-        longer_s = min(first_s * (pace.worst - 1.0), SLOW_PHASE_S)
+        longer_s = min(first_s * (pace.slow_factor - 1.0), SLOW_PHASE_S)
         later = ramp((first_s + longer_s) / self._first_event_due_in_s, FIRST_EVENT_MARGIN)
         return late + slow_phase_probability(pace, first_s) * (later - late)
 
@@ -134,21 +134,21 @@
         self, option: ReplicaOption, pause_s: float, prefill_s: float, run_s: float, late: float
     ) -> float:
         """Return the expected loss by late first events and by too long pauses."""
-        pace = option.pace or USUAL
+        pace = option.pace or NOMINAL_PACE
         bound_s = self._max_pause_s
         always = ramp(pause_s / bound_s, PAUSE_MARGIN) if pause_s > self._safe_pause_s else 0.0
-        worst = ramp(pause_s * pace.worst / bound_s, PAUSE_MARGIN)
-        met = max(always, worst * slow_phase_probability(pace, prefill_s))
-        own = max(always, worst * pace.bad_share) * run_s * PROMPTS_PER_S
+        slow_factor = ramp(pause_s * pace.slow_factor / bound_s, PAUSE_MARGIN)
+        met = max(always, slow_factor * slow_phase_probability(pace, prefill_s))
+        own = max(always, slow_factor * pace.slow_share) * run_s * PROMPTS_PER_S
         lost = late + (1.0 - late) * min(1.0, own)
         remaining = option.remaining_tokens
-        loss = lost * self._work - worst * self._memory_loss
+        loss = lost * self._work - slow_factor * self._memory_loss
         if not prefill_s:
             # A resumed generation has no prompt to process, but may run beside one.
             return loss + met * self._work if option.unread_tokens else loss
         loss += met * remaining * LOSS_PER_REMAINING_TOKEN
         if remaining < LONG_TOKENS < self._output_tokens:
-            loss += worst * self._first_long_loss
+            loss += slow_factor * self._first_long_loss
         return loss
 
 
--- a/reachlink/scheduling/_pace.py
+++ b/reachlink/scheduling/_pace.py
@@ -15,22 +15,22 @@
     ----------
     steady : float
         Steady pace; 0.5 for a replica that takes half of the nominal time.
-    moment : float
+    momentary : float
         Factor on `steady` shown by the newest observation; decays to 1 with its age.
-    worst : float
+    slow_factor : float
         Factor on `steady` that slow phases reach on average.
-    bad_share : float
+    slow_share : float
         Share of the time, from 0 to 1, that slow phases take.
     age_s : float
         Age of the newest observation, in seconds; infinite if there is none.
     """
 
     steady: float = 1.0
-    moment: float = 1.0
-    worst: float = 1.0
-    bad_share: float = 0.0
+    momentary: float = 1.0
+    slow_factor: float = 1.0
+    slow_share: float = 0.0
     age_s: float = float("inf")
 
 
-USUAL = Pace()
+NOMINAL_PACE = Pace()
 """Pace of a replica without any observation."""
--- a/reachlink/scheduling/_pace_notes.py
+++ b/reachlink/scheduling/_pace_updates.py
@@ -9,18 +9,18 @@
 import msgspec
 
 from reachlink.scheduling._pace import Pace
-from reachlink.scheduling._paces import LEAST, MOST, HeardPace
+from reachlink.scheduling._pace_estimate import MAX_PACE, MIN_PACE, PeerPace
 
 
-class PaceNote(msgspec.Struct, array_like=True, frozen=True):
+class PaceUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Estimate of one replica's pace, in integers, which take half of the bytes.
 
     Attributes
     ----------
     replica : str
         Name of the replica.
-    steady, worst, moment, bad_share : int
-        As in `Pace`, in percent; `moment` without decay.
+    steady, slow_factor, momentary, slow_share : int
+        As in `Pace`, in percent; `momentary` without decay.
     age_ms : int
         Age of the newest observation at any instance when the message was sent, in
         milliseconds. It is not a time, since the clocks of instances are not compared.
@@ -30,37 +30,37 @@
 
     replica: str
     steady: int
-    worst: int = 100
-    moment: int = 100
-    bad_share: int = 0
+    slow_factor: int = 100
+    momentary: int = 100
+    slow_share: int = 0
     age_ms: int = 0
     born: int = 0
 
-    def heard(self, now: float) -> HeardPace:
+    def to_peer_pace(self, now: float) -> PeerPace:
         """Return the estimate as received at a monotonic time in seconds."""
         pace = Pace(
-            steady=_between(LEAST, self.steady / 100.0, MOST),
-            moment=_between(LEAST, self.moment / 100.0, MOST),
-            worst=_between(1.0, self.worst / 100.0, MOST),
-            bad_share=_between(0.0, self.bad_share / 100.0, 1.0),
+            steady=_between(MIN_PACE, self.steady / 100.0, MAX_PACE),
+            momentary=_between(MIN_PACE, self.momentary / 100.0, MAX_PACE),
+            slow_factor=_between(1.0, self.slow_factor / 100.0, MAX_PACE),
+            slow_share=_between(0.0, self.slow_share / 100.0, 1.0),
             age_s=max(0.0, self.age_ms / 1000.0),
         )
-        return HeardPace(pace, now)
+        return PeerPace(pace, now)
 
 
-def pace_note(replica: str, pace: Pace, born: int) -> PaceNote:
+def make_pace_update(replica: str, pace: Pace, born: int) -> PaceUpdate:
     """Return the message for a replica that started at `born`, in Unix milliseconds."""
-    return PaceNote(
+    return PaceUpdate(
         replica=replica,
         steady=round(100.0 * pace.steady),
-        worst=round(100.0 * pace.worst),
-        moment=round(100.0 * pace.moment),
-        bad_share=round(100.0 * pace.bad_share),
+        slow_factor=round(100.0 * pace.slow_factor),
+        momentary=round(100.0 * pace.momentary),
+        slow_share=round(100.0 * pace.slow_share),
         # Rounded up, so that no observation becomes newer in transfer.
         age_ms=math.ceil(1000.0 * pace.age_s),
         born=born,
     )
 
 
-def _between(least: float, value: float, most: float) -> float:
-    return min(most, max(least, value))
+def _between(low: float, value: float, high: float) -> float:
+    return min(high, max(low, value))
--- a/reachlink/scheduling/tests/fleet.py
+++ b/reachlink/scheduling/tests/fleet.py
@@ -231,8 +231,8 @@
 
 def aged(pace: Pace, age_s: float) -> Pace:
     """Return what is believed of a pace that was seen some seconds ago."""
-    moment = 1.0 + (pace.moment - 1.0) * 0.5 ** (age_s / HALF_LIFE_S)
-    return replace(pace, moment=moment, age_s=age_s)
+    moment = 1.0 + (pace.momentary - 1.0) * 0.5 ** (age_s / HALF_LIFE_S)
+    return replace(pace, momentary=moment, age_s=age_s)
 
 
 def replace_need(need: Need, left_s: float) -> Need:
@@ -272,4 +272,4 @@
 
 def _paced_load(option: ReplicaOption) -> float:
     pace = option.pace or Pace()
-    return (option.running + 1) * pace.steady * pace.moment
+    return (option.running + 1) * pace.steady * pace.momentary
--- a/reachlink/scheduling/tests/test_loss.py
+++ b/reachlink/scheduling/tests/test_loss.py
@@ -14,9 +14,9 @@
     choose_replica,
 )
 
-QUICK = Pace(steady=0.55, worst=2.5, bad_share=0.15, age_s=0.0)
-SLOW = Pace(steady=1.2, worst=2.5, bad_share=0.15, age_s=0.0)
-SLOW_NOW = Pace(steady=1.2, moment=2.5, worst=2.5, bad_share=0.15, age_s=0.0)
+QUICK = Pace(steady=0.55, slow_factor=2.5, slow_share=0.15, age_s=0.0)
+SLOW = Pace(steady=1.2, slow_factor=2.5, slow_share=0.15, age_s=0.0)
+SLOW_NOW = Pace(steady=1.2, momentary=2.5, slow_factor=2.5, slow_share=0.15, age_s=0.0)
 USUAL_NOW = Pace(age_s=0.0)
 DRAFT = Need(3827, 3079, first_event_due_in_s=1.8, max_pause_s=0.18)
 CHECK = Need(2558, 2550, first_event_due_in_s=1.5, max_pause_s=0.18)
@@ -133,7 +133,7 @@
     assert best(Need(), plain("slow", 0, slow), plain("full", 6, USUAL_NOW)) == "full"
     assert best(Need(), plain("slow", 0, slow), plain("queue", 16, USUAL_NOW)) == "slow"
     assert (
-        best(Need(), plain("bad", 0, Pace(moment=2.5, age_s=0.0)), plain("good", 5, USUAL_NOW))
+        best(Need(), plain("bad", 0, Pace(momentary=2.5, age_s=0.0)), plain("good", 5, USUAL_NOW))
         == "good"
     )
 
--- a/reachlink/scheduling/tests/test_paces.py
+++ b/reachlink/scheduling/tests/test_paces.py
@@ -5,10 +5,10 @@
 
 import pytest
 
-from reachlink.scheduling import HeardPace, Kin, Pace, PaceBelief, PaceBook, PaceSource
-from reachlink.scheduling._pace_book import MAX_SERVICES
+from reachlink.scheduling import Pace, PaceEstimate, PaceSource, PaceTracker, PeerPace, ServicePace
+from reachlink.scheduling._pace_tracker import MAX_SERVICES
 
-KIN = Kin(steadies=(0.55, 1.2), worst=2.5, bad_share=0.15)
+KIN = ServicePace(steady_paces=(0.55, 1.2), slow_factor=2.5, slow_share=0.15)
 APP = "app"
 
 
@@ -30,30 +30,30 @@
         return self.steady * (self.worst if self._bad else 1.0)
 
 
-def told(paces: list[float], every_s: float = 0.3, kin: Kin = KIN) -> PaceBelief:
-    belief = PaceBelief(kin)
+def told(paces: list[float], every_s: float = 0.3, kin: ServicePace = KIN) -> PaceEstimate:
+    estimate = PaceEstimate(kin)
     for number, pace in enumerate(paces):
-        belief.note_told(pace, 10.0 + every_s * number)
-    return belief
+        estimate.record_reported(pace, 10.0 + every_s * number)
+    return estimate
 
 
 @pytest.mark.parametrize("steady", [0.55, 1.2, 1.0, 0.8])
 def test_the_first_figure_counts_at_once(steady):
-    assert told([steady], kin=Kin()).steady == steady
+    assert told([steady], kin=ServicePace()).steady == steady
     assert told([steady]).steady == steady
 
 
 @pytest.mark.parametrize("first,steady", [(1.375, 0.55), (3.0, 1.2), (2.5, 1.0)])
 def test_a_bad_moment_at_first_is_known_by_what_others_tell(first, steady):
-    kin = Kin((0.55, 1.0, 1.2), 2.5, 0.15)
-    belief = told([first], kin=kin)
-    assert belief.steady == pytest.approx(steady)
-    assert belief.pace(10.0).moment == pytest.approx(2.5)
+    kin = ServicePace((0.55, 1.0, 1.2), 2.5, 0.15)
+    estimate = told([first], kin=kin)
+    assert estimate.steady == pytest.approx(steady)
+    assert estimate.pace(10.0).momentary == pytest.approx(2.5)
 
 
 def test_a_bad_moment_at_first_is_forgotten_with_the_first_good_figure():
-    belief = told([3.0, 1.2], kin=Kin())
-    assert (belief.steady, belief.pace(10.3).moment) == (1.2, 1.0)
+    estimate = told([3.0, 1.2], kin=ServicePace())
+    assert (estimate.steady, estimate.pace(10.3).momentary) == (1.2, 1.0)
 
 
 def test_a_machine_that_is_slower_than_all_others_is_believed_after_a_second():
@@ -61,81 +61,81 @@
 
 
 def test_a_moment_fades_within_half_a_second():
-    belief = told([1.0, 1.0, 1.0, 1.0, 2.5])
-    moments = [belief.pace(11.2 + age).moment for age in (0.0, 0.25, 0.5, 2.0)]
+    estimate = told([1.0, 1.0, 1.0, 1.0, 2.5])
+    moments = [estimate.pace(11.2 + age).momentary for age in (0.0, 0.25, 0.5, 2.0)]
     assert moments == pytest.approx([2.5, 1.75, 1.375, 1.0])
 
 
-@pytest.mark.parametrize("kin,first,most_off", [(KIN, 0, 0.01), (Kin(), 12, 0.01)])
+@pytest.mark.parametrize("kin,first,most_off", [(KIN, 0, 0.01), (ServicePace(), 12, 0.01)])
 def test_what_lasts_is_found_at_every_kind_of_machine_whatever_their_moments(kin, first, most_off):
     off = looked = 0
     for seed in range(300):
         random = Random(seed)
         machine = Machine(random.choice([0.55, 1.2]), random)
-        belief, now = PaceBelief(kin), random.random()
+        estimate, now = PaceEstimate(kin), random.random()
         for count in range(60):
             now += random.expovariate(5.0)
-            belief.note_told(machine.pace(now), now)
+            estimate.record_reported(machine.pace(now), now)
             if count >= first:
                 looked += 1
-                off += belief.steady != pytest.approx(machine.steady, rel=0.1)
+                off += estimate.steady != pytest.approx(machine.steady, rel=0.1)
     assert off <= most_off * looked
 
 
 def test_bad_moments_are_learned():
     random = Random(7)
     machine = Machine(1.2, random)
-    belief = PaceBelief()
+    estimate = PaceEstimate()
     for number in range(1200):
-        belief.note_told(machine.pace(0.1 * number), 0.1 * number)
-    pace = belief.pace(120.0)
-    assert pace.worst == pytest.approx(2.5, rel=0.05)
-    assert pace.bad_share == pytest.approx(0.15, abs=0.05)
+        estimate.record_reported(machine.pace(0.1 * number), 0.1 * number)
+    pace = estimate.pace(120.0)
+    assert pace.slow_factor == pytest.approx(2.5, rel=0.05)
+    assert pace.slow_share == pytest.approx(0.15, abs=0.05)
 
 
 def test_a_lasting_change_is_followed_in_seconds():
-    belief = told([0.55] * 40)
+    estimate = told([0.55] * 40)
     for number in range(20):
-        belief.note_told(1.2, 30.0 + 0.3 * number)
-    assert belief.steady == 1.2
+        estimate.record_reported(1.2, 30.0 + 0.3 * number)
+    assert estimate.steady == 1.2
 
 
 @pytest.mark.parametrize("lie,truth", [(0.55, 1.2), (0.55, 2.5), (1.2, 0.55)])
 def test_a_frozen_pace_is_outweighed_by_what_is_seen(lie, truth):
-    belief = PaceBelief(KIN)
+    estimate = PaceEstimate(KIN)
     for number in range(3):
-        belief.note_told(lie, 10.0 + 0.3 * number)
-        belief.note_seen(truth, 10.01 + 0.3 * number)
-    assert belief.steady == pytest.approx(truth, rel=0.01)
+        estimate.record_reported(lie, 10.0 + 0.3 * number)
+        estimate.record_measured(truth, 10.01 + 0.3 * number)
+    assert estimate.steady == pytest.approx(truth, rel=0.01)
     for number in range(100):
-        belief.note_told(lie, 11.0 + 0.3 * number)
-        belief.note_seen(truth, 11.01 + 0.3 * number)
-    assert belief.steady == pytest.approx(truth, rel=0.01)
+        estimate.record_reported(lie, 11.0 + 0.3 * number)
+        estimate.record_measured(truth, 11.01 + 0.3 * number)
+    assert estimate.steady == pytest.approx(truth, rel=0.01)
 
 
 def test_what_is_seen_roughly_as_told_changes_nothing():
     random = Random(3)
-    belief = PaceBelief(KIN)
+    estimate = PaceEstimate(KIN)
     for number in range(100):
-        belief.note_told(0.55, 0.1 * number)
-        belief.note_seen(0.55 * random.uniform(0.7, 1.4), 0.1 * number)
-        assert belief.steady == 0.55
+        estimate.record_reported(0.55, 0.1 * number)
+        estimate.record_measured(0.55 * random.uniform(0.7, 1.4), 0.1 * number)
+        assert estimate.steady == 0.55
 
 
 @pytest.mark.parametrize("pace,bounded", [(0.01, 0.25), (99.0, 8.0)])
 def test_no_figure_empties_or_draws_the_fleet(pace, bounded):
-    assert told([pace] * 9, kin=Kin()).steady == bounded
+    assert told([pace] * 9, kin=ServicePace()).steady == bounded
 
 
 def test_without_a_told_pace_what_is_seen_shows_a_slow_replica_within_a_second():
     random = Random(5)
-    book = PaceBook()
-    book.note_told(APP, "r0", 1.0, 0.0)
+    book = PaceTracker()
+    book.record_reported(APP, "r0", 1.0, 0.0)
     for number in range(12):
         now = 0.08 * number
         for replica, pace in (("r0", 1.0), ("r1", 1.0), ("r2", 2.5), ("r3", 1.0)):
             took_s = 0.1 * pace * random.uniform(0.95, 1.1)
-            book.note_call(APP, "read", replica, took_s, now)
+            book.record_call(APP, "read", replica, took_s, now)
     paces = [book.pace(f"r{number}", 0.9).steady for number in (1, 2, 3)]
     assert paces[1] / paces[0] > 2.0 and paces[1] / paces[2] > 2.0
 
@@ -143,132 +143,136 @@
 @pytest.mark.parametrize("took_s", [30.0, 3600.0])
 def test_one_call_out_of_all_measure_changes_nothing_that_lasts(took_s):
     """The machine slept meanwhile, or the call was of another kind than all others."""
-    book = PaceBook()
+    book = PaceTracker()
     calls_every(book, 0.0)
     before = book.pace("r1", 12.0)
-    book.note_call(APP, "read", "r2", took_s, 12.0)
+    book.record_call(APP, "read", "r2", took_s, 12.0)
     calls_every(book, 12.3)
     # At the replica itself the look counts by itself and among those of all.
     for replica, worst in (("r0", 4.4), ("r1", 4.4), ("r2", 5.6)):
         after = book.pace(replica, 24.0)
-        assert after.worst <= worst and after.steady == pytest.approx(before.steady, rel=0.05)
+        assert after.slow_factor <= worst and after.steady == pytest.approx(before.steady, rel=0.05)
 
 
 def test_one_call_out_of_all_measure_hides_no_other():
     """What calls usually take is shifted by a tenth at the most: others seem no quicker."""
-    book = PaceBook()
+    book = PaceTracker()
     calls_every(book, 0.0)
-    book.note_call(APP, "read", "r1", 3600.0, 12.0)
+    book.record_call(APP, "read", "r1", 3600.0, 12.0)
     for number in range(3):
-        book.note_call(APP, "read", "new", 0.1, 12.3 + 0.3 * number)
+        book.record_call(APP, "read", "new", 0.1, 12.3 + 0.3 * number)
     assert book.pace("new", 13.0).steady == pytest.approx(1.0, rel=0.11)
 
 
-def calls_every(book: PaceBook, since: float) -> None:
+def calls_every(book: PaceTracker, since: float) -> None:
     """Have calls of 0.1 s at two replicas that tell nothing, beside one that tells its pace."""
     for number in range(40):
         now = since + 0.3 * number
-        book.note_told(APP, "r0", 1.0, now)
+        book.record_reported(APP, "r0", 1.0, now)
         for replica in ("r0", "r1", "r2"):
-            book.note_call(APP, "read", replica, 0.1, now)
+            book.record_call(APP, "read", replica, 0.1, now)
 
 
-def heard(steady: float, observed_at: float, heard_at: float) -> HeardPace:
-    return HeardPace(Pace(steady, age_s=heard_at - observed_at), heard_at)
+def heard(steady: float, observed_at: float, received_at: float) -> PeerPace:
+    return PeerPace(Pace(steady, age_s=received_at - observed_at), received_at)
 
 
 def test_what_others_tell_counts_until_own_figures_come():
-    belief = PaceBelief(KIN)
-    assert belief.hear(heard(0.55, 9.0, 10.0))
-    assert (belief.steady, belief.pace(11.0).age_s) == (0.55, 2.0)
-    belief.note_told(1.375, 11.0)
-    assert belief.steady == pytest.approx(0.55)
+    estimate = PaceEstimate(KIN)
+    assert estimate.record_peer(heard(0.55, 9.0, 10.0))
+    assert (estimate.steady, estimate.pace(11.0).age_s) == (0.55, 2.0)
+    estimate.record_reported(1.375, 11.0)
+    assert estimate.steady == pytest.approx(0.55)
     for number in range(4):
-        belief.note_told(0.8, 12.0 + number)
-    assert belief.steady == 0.8
+        estimate.record_reported(0.8, 12.0 + number)
+    assert estimate.steady == 0.8
 
 
 def test_an_older_observation_never_replaces_a_newer_one():
-    belief = PaceBelief(KIN)
-    assert belief.hear(heard(0.55, 9.0, 10.0))
-    assert not belief.hear(heard(1.2, 8.9, 12.0))
-    assert not belief.hear(heard(0.55, 9.0, 13.0))
-    assert (belief.steady, belief.pace(13.0).age_s) == (0.55, 4.0)
+    estimate = PaceEstimate(KIN)
+    assert estimate.record_peer(heard(0.55, 9.0, 10.0))
+    assert not estimate.record_peer(heard(1.2, 8.9, 12.0))
+    assert not estimate.record_peer(heard(0.55, 9.0, 13.0))
+    assert (estimate.steady, estimate.pace(13.0).age_s) == (0.55, 4.0)
 
 
 def test_own_figures_that_are_old_give_way():
-    belief = told([1.2] * 6)
-    belief.hear(heard(0.55, 14.0, 14.1))
-    assert belief.steady == 1.2
-    belief.hear(heard(0.55, 30.0, 30.1))
-    assert belief.steady == 0.55
+    estimate = told([1.2] * 6)
+    estimate.record_peer(heard(0.55, 14.0, 14.1))
+    assert estimate.steady == 1.2
+    estimate.record_peer(heard(0.55, 30.0, 30.1))
+    assert estimate.steady == 0.55
 
 
 def test_a_new_lifetime_begins_anew():
-    book = PaceBook()
+    book = PaceTracker()
     for number in range(9):
-        book.note_told(APP, "r1", 1.2, float(number))
-    book.start_again("r1")
+        book.record_reported(APP, "r1", 1.2, float(number))
+    book.reset_replica("r1")
     assert book.pace("r1", 9.0) == Pace()
-    book.note_told(APP, "r1", 0.55, 9.0)
+    book.record_reported(APP, "r1", 0.55, 9.0)
     assert book.pace("r1", 9.0).steady == 0.55
 
 
 def test_it_is_on_only_where_a_replica_tells_a_pace():
-    book = PaceBook()
-    book.note_call(APP, "read", "r1", 0.1, 0.0)
-    book.note_seen(APP, "r1", 2.0, 0.0)
-    assert (book.count, book.is_told(APP), book.pace_in(APP, "r1", 0.0)) == (0, False, None)
-    book.note_told(APP, "r1", 1.2, 0.0)
-    assert book.is_told(APP) and not book.is_told("chat")
-    assert book.pace_in(APP, "r9", 0.0) == Pace()
+    book = PaceTracker()
+    book.record_call(APP, "read", "r1", 0.1, 0.0)
+    book.record_measured(APP, "r1", 2.0, 0.0)
+    assert (book.count, book.is_reported(APP), book.pace_if_reported(APP, "r1", 0.0)) == (
+        0,
+        False,
+        None,
+    )
+    book.record_reported(APP, "r1", 1.2, 0.0)
+    assert book.is_reported(APP) and not book.is_reported("chat")
+    assert book.pace_if_reported(APP, "r9", 0.0) == Pace()
 
 
 def test_switched_off_it_stays_empty():
-    book = PaceBook(on=False)
-    book.note_told(APP, "r1", 1.2, 0.0)
-    book.hear(APP, "r1", heard(1.2, 0.0, 0.0), PaceSource.MEMBER, "m1", 0.0)
-    assert (book.count, book.is_told(APP)) == (0, False)
+    book = PaceTracker(enabled=False)
+    book.record_reported(APP, "r1", 1.2, 0.0)
+    book.record_peer(APP, "r1", heard(1.2, 0.0, 0.0), PaceSource.MEMBER, "m1", 0.0)
+    assert (book.count, book.is_reported(APP)) == (0, False)
 
 
 def test_memory_is_bounded(monkeypatch):
-    monkeypatch.setattr("reachlink.scheduling._pace_book.MAX_REPLICAS", 50)
-    monkeypatch.setattr("reachlink.scheduling._pace_book.MAX_CALLS", 20)
-    book = PaceBook()
+    monkeypatch.setattr("reachlink.scheduling._pace_tracker.MAX_REPLICAS", 50)
+    monkeypatch.setattr("reachlink.scheduling._pace_tracker.MAX_CALL_KINDS", 20)
+    book = PaceTracker()
     for number in range(300):
-        book.note_told(APP, f"r{number}", 1.0, 0.1 * number)
-        book.note_call(APP, f"call{number}", "r1", 0.1, 0.1 * number)
-    assert book.count == 50 and len(book._calls) == 20
+        book.record_reported(APP, f"r{number}", 1.0, 0.1 * number)
+        book.record_call(APP, f"call{number}", "r1", 0.1, 0.1 * number)
+    assert book.count == 50 and len(book._call_durations) == 20
     book.forget_gone({"r299"})
     assert book.count == 1
 
 
 def test_a_belief_that_does_not_change_is_no_news():
-    book, changes = PaceBook(), []
-    book.listen(changes.append)
+    book, changes = PaceTracker(), []
+    book.add_listener(changes.append)
     random = Random(2)
     for number in range(200):
-        book.note_told(APP, "r1", 1.2 * random.uniform(0.98, 1.02), 0.3 * number)
-    assert [change.source for change in changes] == [PaceSource.TOLD]
+        book.record_reported(APP, "r1", 1.2 * random.uniform(0.98, 1.02), 0.3 * number)
+    assert [change.source for change in changes] == [PaceSource.REPORTED]
     for number in range(200):
-        book.note_told(APP, "r1", 0.55, 60.0 + 0.3 * number)
+        book.record_reported(APP, "r1", 0.55, 60.0 + 0.3 * number)
     assert changes[-1].pace.steady == 0.55 and len(changes) <= 4
 
 
 def test_news_are_told_oldest_first_and_a_few_at_a_time():
-    book = PaceBook()
+    book = PaceTracker()
     for number in range(5):
-        book.note_told(APP, f"r{number}", 1.0, 0.1 * number)
-    last, first = book.changed_since(0, [PaceSource.TOLD], most=3)
+        book.record_reported(APP, f"r{number}", 1.0, 0.1 * number)
+    last, first = book.changed_since(0, [PaceSource.REPORTED], limit=3)
     assert first == ["r0", "r1", "r2"]
-    assert book.changed_since(last, [PaceSource.TOLD], most=3)[1] == ["r3", "r4"]
-    assert book.changed_since(0, [PaceSource.SEEN], most=3)[1] == []
+    assert book.changed_since(last, [PaceSource.REPORTED], limit=3)[1] == ["r3", "r4"]
+    assert book.changed_since(0, [PaceSource.MEASURED], limit=3)[1] == []
 
 
 def test_services_that_come_and_go_leave_a_bounded_book():
-    book = PaceBook()
+    book = PaceTracker()
     for number in range(3 * MAX_SERVICES):
-        book.note_told(f"service {number}", "r1", 1.0, 0.1 * number)
+        book.record_reported(f"service {number}", "r1", 1.0, 0.1 * number)
         book.forget_gone(())
     assert len(book._services) <= MAX_SERVICES
-    assert book.is_told(f"service {3 * MAX_SERVICES - 1}")
+    assert book.is_reported(f"service {3 * MAX_SERVICES - 1}")
