--- a/reachlink/scheduling/__init__.py
+++ b/reachlink/scheduling/__init__.py
@@ -37,7 +37,7 @@
 )
 from reachlink.scheduling._replica_option import ReplicaOption
 from reachlink.scheduling._request_queue import MAX_QUEUED, QueuedRequest, RequestQueue
-from reachlink.scheduling._settings import SchedulingChoice, SchedulingSettings
+from reachlink.scheduling._settings import SchedulingOverrides, SchedulingSettings
 from reachlink.scheduling._start import Begin, Start, Wait, best_start
 
 __all__ = [
@@ -70,7 +70,7 @@
     "Refuse",
     "CallerRetryRegistry",
     "CallerRetryCounts",
-    "SchedulingChoice",
+    "SchedulingOverrides",
     "SchedulingSettings",
     "Start",
     "EventIntervalMeter",
--- a/reachlink/scheduling/_settings.py
+++ b/reachlink/scheduling/_settings.py
@@ -9,9 +9,9 @@
 PROCESS_MB = 64
 # Maximum share of the remaining memory that is used for buffers of callers and replicas;
 # connections, requests and the state of replicas need the rest.
-HELD_PART = 0.45
+BUFFER_MEMORY_SHARE = 0.45
 # Buffer size on the smallest machine, in MB: the largest request bodies must fit.
-LEAST_HELD_MB = 13
+MIN_BUFFER_MB = 13
 
 
 class SchedulingSettings(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
@@ -37,7 +37,7 @@
     over_zones: bool = False
 
 
-class SchedulingChoice(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
+class SchedulingOverrides(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
     """Overrides of `SchedulingSettings`; None keeps the default of the deployment.
 
     Attributes
@@ -49,7 +49,7 @@
 
     Examples
     --------
-    >>> SchedulingChoice(pace=False).settings(crowded=True)
+    >>> SchedulingOverrides(pace=False).resolve(crowded=True)
     SchedulingSettings(line=True, pace=False, held_bytes=0, over_zones=True)
     """
 
@@ -58,7 +58,7 @@
     held_bytes: Annotated[int, msgspec.Meta(ge=0)] | None = None
     over_zones: bool | None = None
 
-    def settings(self, crowded: bool, memory_mb: float = 0.0) -> SchedulingSettings:
+    def resolve(self, crowded: bool, memory_mb: float = 0.0) -> SchedulingSettings:
         """Return the scheduling settings of a deployment with the overrides applied.
 
         Parameters
@@ -68,13 +68,13 @@
         memory_mb : float
             Memory available to this process, in MB; 0 if unknown.
         """
-        held_bytes = held_part(memory_mb) if crowded else 0
-        usual = SchedulingSettings(line=crowded, over_zones=crowded, held_bytes=held_bytes)
-        said = structs.asdict(self)
-        return structs.replace(usual, **{k: v for k, v in said.items() if v is not None})
+        held_bytes = default_buffer_bytes(memory_mb) if crowded else 0
+        defaults = SchedulingSettings(line=crowded, over_zones=crowded, held_bytes=held_bytes)
+        overrides = structs.asdict(self)
+        return structs.replace(defaults, **{k: v for k, v in overrides.items() if v is not None})
 
 
-def held_part(memory_mb: float) -> int:
+def default_buffer_bytes(memory_mb: float) -> int:
     """Return the number of bytes that an instance buffers; 0 means unlimited.
 
     Parameters
@@ -84,9 +84,9 @@
 
     Examples
     --------
-    >>> held_part(0.0), held_part(264.0) >> 20
+    >>> default_buffer_bytes(0.0), default_buffer_bytes(264.0) >> 20
     (0, 90)
     """
     if not memory_mb:
         return 0
-    return int(max(LEAST_HELD_MB, (memory_mb - PROCESS_MB) * HELD_PART) * (1 << 20))
+    return int(max(MIN_BUFFER_MB, (memory_mb - PROCESS_MB) * BUFFER_MEMORY_SHARE) * (1 << 20))
--- a/reachlink/scheduling/tests/test_settings.py
+++ b/reachlink/scheduling/tests/test_settings.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from reachlink.scheduling import SchedulingChoice, SchedulingSettings
+from reachlink.scheduling import SchedulingOverrides, SchedulingSettings
 
 
-@pytest.mark.parametrize("kind", [SchedulingSettings, SchedulingChoice])
+@pytest.mark.parametrize("kind", [SchedulingSettings, SchedulingOverrides])
 def test_a_budget_below_nothing_is_no_setting(kind):
     """It would refuse each body, and count nothing."""
     with pytest.raises(msgspec.ValidationError):
