--- a/reachlink/entry/_answers.py
+++ b/reachlink/entry/_answers.py
@@ -400,7 +400,7 @@
 
     async def _cancel(self, replica: Replica, generation: str) -> None:
         # Not while the replica is to get nothing: what is not ended runs on for nobody.
-        await asyncio.sleep(self._node.client.pacing.left_s(replica.address, steady_time()))
+        await asyncio.sleep(self._node.client.pacing.remaining_s(replica.address, steady_time()))
         with contextlib.suppress(UpstreamError):
             await self._adapter.cancel(replica, generation, if_detached=True)
 
--- a/reachlink/entry/_dispatcher.py
+++ b/reachlink/entry/_dispatcher.py
@@ -200,7 +200,7 @@
         hold = self._hold(ticket)
         if hold is None:
             raise no_replica()
-        if self._clock() + hold.left_s > ticket.deadline:
+        if self._clock() + hold.remaining_s > ticket.deadline:
             raise replicas_held_back(hold)
 
     def _try(self, ticket: Ticket) -> Decision:
@@ -274,7 +274,7 @@
 def replicas_held_back(hold: Hold, outcome: Outcome = Outcome.NOT_RUN) -> RequestError:
     """Return the error for an upstream whose replicas may all get nothing now."""
     code, message = _HELD_BACK[hold.reason]
-    return RequestError(503, code, message, outcome, hold.left_s)
+    return RequestError(503, code, message, outcome, hold.remaining_s)
 
 
 def _resolve(pending: _Pending, decision: Decision) -> None:
--- a/reachlink/entry/_ledger.py
+++ b/reachlink/entry/_ledger.py
@@ -141,7 +141,7 @@
             local=replica.availability_zone == zone,
             capacity_tokens=report.kv_capacity_tokens,
             max_batch=report.max_batch,
-            known=known,
+            forecast=known,
             own_in_flight=len(state.in_flight),
             running=running,
             reported_running=report.running,
--- a/reachlink/entry/_plain.py
+++ b/reachlink/entry/_plain.py
@@ -215,7 +215,7 @@
             hold = node.hold(service.upstream, excluded)
             if admitted or hold is None:
                 return self._choose(admitted, outcome)
-            if steady_time() + hold.left_s >= until:
+            if steady_time() + hold.remaining_s >= until:
                 raise replicas_held_back(hold, outcome)
             await asyncio.sleep(HELD_LOOK_S)
 
--- a/reachlink/entry/exceptions.py
+++ b/reachlink/entry/exceptions.py
@@ -71,7 +71,7 @@
         Until when all replicas are held back by what they have asked for, if so.
     """
     status = 503 if outcome is Outcome.NOT_RUN else 502
-    retry_s = FAILED_RETRY_S if hold is None else hold.left_s
+    retry_s = FAILED_RETRY_S if hold is None else hold.remaining_s
     return RequestError(status, "upstream_failed", reason, outcome, retry_s)
 
 
--- a/reachlink/membership/_directory.py
+++ b/reachlink/membership/_directory.py
@@ -233,7 +233,7 @@
             entry.noticed_at = float("-inf")
             entry.listed = InstanceState.LIVE
             self._live.clear()
-            self._pacing.start_again(entry.replica.address, now)
+            self._pacing.on_restart(entry.replica.address, now)
             self._on_started_again(name)
         return started_again
 
@@ -335,7 +335,7 @@
             self._names_at[address] = instance.name
             entry.born = instance.born
             # What the address asked for before was asked for by another one.
-            self._pacing.replace(address)
+            self._pacing.on_address_reused(address)
             _note_cold(entry, instance.cold_s, now)
             return True
         if 0 < instance.born < entry.born:
--- a/reachlink/pacing/_backoffs.py
+++ b/reachlink/pacing/_backoffs.py
@@ -104,7 +104,7 @@
         self._make_room(address, now)
         self._backoffs[address] = _Backoff(until, now)
 
-    def left_s(self, address: str, now: float) -> float:
+    def remaining_s(self, address: str, now: float) -> float:
         """Return the remaining backoff of a replica in seconds; 0 if it has none."""
         backoff = self._backoffs.get(address)
         return max(0.0, backoff.until - now) if backoff is not None else 0.0
@@ -140,13 +140,13 @@
         if backoff is not None and backoff.tried_at is not None and backoff.answered_at is None:
             backoff.answered_at = now
 
-    def start_again(self, address: str, now: float) -> None:
+    def on_restart(self, address: str, now: float) -> None:
         """Drop a backoff that was requested before the replica restarted."""
         backoff = self._backoffs.get(address)
         if backoff is not None and now - backoff.asked_at > START_KNOWN_S:
             del self._backoffs[address]
 
-    def replace(self, address: str) -> None:
+    def on_address_reused(self, address: str) -> None:
         """Drop the backoff of an address that now belongs to another replica."""
         self._backoffs.pop(address, None)
 
--- a/reachlink/pacing/_book.py
+++ b/reachlink/pacing/_book.py
@@ -25,14 +25,14 @@
 
     Attributes
     ----------
-    left_s : float
+    remaining_s : float
         Time in seconds until the first of the replicas may get a request; 0 if one of
         them is ramping up after a backoff and gets only part of its usual load.
     reason : HoldReason
         What holds back that replica.
     """
 
-    left_s: float
+    remaining_s: float
     reason: HoldReason
 
 
@@ -46,7 +46,7 @@
     def is_empty(self) -> bool:
         """Whether no replica is tracked."""
 
-    def left_s(self, address: str, now: float) -> float:
+    def remaining_s(self, address: str, now: float) -> float:
         """Return for how many seconds a replica may get no request; 0 if it may get one."""
 
     def holds(self, address: str, now: float) -> bool:
@@ -61,10 +61,10 @@
     def note_answer(self, address: str, now: float) -> None:
         """Record that a replica answered a request without asking for a backoff."""
 
-    def start_again(self, address: str, now: float) -> None:
+    def on_restart(self, address: str, now: float) -> None:
         """Drop what a replica requested before it restarted."""
 
-    def replace(self, address: str) -> None:
+    def on_address_reused(self, address: str) -> None:
         """Drop the state of an address that now belongs to another replica."""
 
 
@@ -100,9 +100,9 @@
         """Whether no replica requested flow control or rejects requests."""
         return self.refusals.is_empty and all(kind.is_empty for kind in self._kinds)
 
-    def left_s(self, address: str, now: float) -> float:
+    def remaining_s(self, address: str, now: float) -> float:
         """Return for how many seconds a replica may get no request by its own demand."""
-        return max(kind.left_s(address, now) for kind in self._kinds)
+        return max(kind.remaining_s(address, now) for kind in self._kinds)
 
     def admits(self, address: str, now: float, within_s: float = 0.0) -> bool:
         """Return whether another request may be sent to a replica.
@@ -117,11 +117,11 @@
             Longest time in seconds that the request may wait for a permit at a replica with
             a rate limit.
         """
-        if self.refusals.left_s(address, now) or not self.backoffs.admits(address, now):
+        if self.refusals.remaining_s(address, now) or not self.backoffs.admits(address, now):
             return False
         if self.limits.admits(address, now):
             return True
-        return self.limits.left_s(address, now) <= within_s
+        return self.limits.remaining_s(address, now) <= within_s
 
     def hold(self, addresses: Sequence[str], now: float) -> Hold | None:
         """Return why and for how long none of some replicas is fully available.
@@ -154,26 +154,26 @@
         for kind in self._kinds:
             kind.note_answer(address, now)
 
-    def start_again(self, address: str, now: float) -> None:
+    def on_restart(self, address: str, now: float) -> None:
         """Drop what a replica requested before it restarted."""
         for kind in self._kinds:
-            kind.start_again(address, now)
+            kind.on_restart(address, now)
         self.refusals.forget(address)
 
-    def replace(self, address: str) -> None:
+    def on_address_reused(self, address: str) -> None:
         """Drop the state of an address that now belongs to another replica."""
         for kind in self._kinds:
-            kind.replace(address)
+            kind.on_address_reused(address)
         self.refusals.forget(address)
 
     def _holds(self, address: str, now: float) -> bool:
-        if self.refusals.left_s(address, now):
+        if self.refusals.remaining_s(address, now):
             return True
         return any(kind.holds(address, now) for kind in self._kinds)
 
     def _placed_in_s(self, address: str, now: float) -> float:
         """Return the time in seconds until a replica may be chosen for a request."""
-        return max(self.left_s(address, now), self.refusals.left_s(address, now))
+        return max(self.remaining_s(address, now), self.refusals.remaining_s(address, now))
 
     def _reason(self, address: str, now: float) -> HoldReason:
         if self.limits.holds(address, now):
--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -139,21 +139,21 @@
         """Return all limits by address."""
         return self._limits
 
-    def block(self, address: str, left_s: float, now: float) -> None:
-        """Record that this instance gets no permit for `left_s` seconds."""
+    def block(self, address: str, remaining_s: float, now: float) -> None:
+        """Record that this instance gets no permit for `remaining_s` seconds."""
         limit = self._limits.get(address)
         if limit is not None:
-            limit.free_at = now + left_s
-            limit.asked_again_at = now + min(left_s, ASKED_AGAIN_S)
+            limit.free_at = now + remaining_s
+            limit.asked_again_at = now + min(remaining_s, ASKED_AGAIN_S)
 
-    def left_s(self, address: str, now: float) -> float:
+    def remaining_s(self, address: str, now: float) -> float:
         """Return the time in seconds until this instance's next permit; 0 if one may be free."""
         limit = self._limits.get(address)
         return max(0.0, limit.free_at - now) if limit is not None else 0.0
 
     def holds(self, address: str, now: float) -> bool:
         """Return whether a replica gets less than its usual load now."""
-        return self.left_s(address, now) > 0.0
+        return self.remaining_s(address, now) > 0.0
 
     def admits(self, address: str, now: float) -> bool:
         """Return whether it is worthwhile to request a permit for a replica."""
@@ -166,13 +166,13 @@
     def note_answer(self, address: str, now: float) -> None:
         """Do nothing: limits in answers are recorded by `record` and `record_absence`."""
 
-    def start_again(self, address: str, now: float) -> None:
+    def on_restart(self, address: str, now: float) -> None:
         """Drop a limit that was advertised before the replica restarted."""
         limit = self._limits.get(address)
         if limit is not None and now - limit.advertised_at > START_KNOWN_S:
             del self._limits[address]
 
-    def replace(self, address: str) -> None:
+    def on_address_reused(self, address: str) -> None:
         """Drop the limit of an address that now belongs to another replica."""
         self._limits.pop(address, None)
         self._ended.pop(address, None)
--- a/reachlink/pacing/_refusals.py
+++ b/reachlink/pacing/_refusals.py
@@ -42,7 +42,7 @@
     wait_s: float
     tried_at: float | None = None
 
-    def left_s(self, now: float) -> float:
+    def remaining_s(self, now: float) -> float:
         """Return for how many seconds the replica gets no requests."""
         free_at = self.refused_at + self.wait_s
         # No probe after a first refusal: for a replica that was full only briefly, a probe would
@@ -89,7 +89,7 @@
             self._refusing[address] = _Refusing(now, FIRST_S)
             return FIRST_S
         if sent_at < before.refused_at:
-            return before.left_s(now)
+            return before.remaining_s(now)
         wait_s = min(LONGEST_S, max(FIRST_S, 2.0 * before.wait_s))
         self._refusing[address] = _Refusing(now, wait_s)
         return wait_s
@@ -97,7 +97,7 @@
     def note_sent(self, address: str, now: float) -> None:
         """Record that a request is sent; the first one after a refusal is the probe."""
         refusing = self._refusing.get(address)
-        if refusing is not None and refusing.tried_at is None and not refusing.left_s(now):
+        if refusing is not None and refusing.tried_at is None and not refusing.remaining_s(now):
             refusing.tried_at = now
 
     def note_accepted(self, address: str, sent_at: float) -> None:
@@ -122,10 +122,10 @@
         else:
             self._refusing[address] = _Refusing(refusing.refused_at, 0.0)
 
-    def left_s(self, address: str, now: float) -> float:
+    def remaining_s(self, address: str, now: float) -> float:
         """Return for how many seconds a replica gets no requests; 0 if it may get one."""
         refusing = self._refusing.get(address)
-        return refusing.left_s(now) if refusing is not None else 0.0
+        return refusing.remaining_s(now) if refusing is not None else 0.0
 
     def is_refusing(self, address: str, now: float) -> bool:
         """Return whether a replica rejected its last request within the last `KEPT_S` seconds."""
--- a/reachlink/pacing/tests/test_backoffs.py
+++ b/reachlink/pacing/tests/test_backoffs.py
@@ -21,7 +21,7 @@
 def test_no_request_is_admitted_during_a_backoff(book):
     book.record(A, BACKOFF_S, 10.0)
     assert not any(book.admits(A, 10.0 + at / 10) for at in range(31))
-    assert BACKOFF_S <= book.left_s(A, 10.0) <= ENDED_S
+    assert BACKOFF_S <= book.remaining_s(A, 10.0) <= ENDED_S
     assert book.admits(A, 10.0 + ENDED_S)
     assert book.admits(B, 10.0)
 
@@ -29,9 +29,9 @@
 def test_latest_of_several_ends_applies(book):
     book.record(A, 30.0, 10.0)
     book.record(A, 1.0, 11.0)
-    assert book.left_s(A, 12.0) >= 28.0
+    assert book.remaining_s(A, 12.0) >= 28.0
     book.record(A, 60.0, 12.0)
-    assert book.left_s(A, 12.0) >= 60.0
+    assert book.remaining_s(A, 12.0) >= 60.0
 
 
 def test_no_other_request_is_admitted_during_the_probe(book):
@@ -65,7 +65,7 @@
     book.record(A, BACKOFF_S, 0.0)
     book.note_sent(A, ENDED_S)
     book.record(A, BACKOFF_S, ENDED_S + 0.01)
-    assert book.left_s(A, ENDED_S + 0.01) >= BACKOFF_S
+    assert book.remaining_s(A, ENDED_S + 0.01) >= BACKOFF_S
 
 
 def test_answer_to_an_earlier_request_does_not_end_the_backoff(book):
@@ -84,25 +84,25 @@
 def _end(random: Random) -> float:
     book = BackoffTracker(random)
     book.record(A, BACKOFF_S, 0.0)
-    return book.left_s(A, 0.0)
+    return book.remaining_s(A, 0.0)
 
 
 def test_restart_ends_an_earlier_backoff(book):
     book.record(A, 3600.0, 0.0)
-    book.start_again(A, backoffs.START_KNOWN_S + 1.0)
+    book.on_restart(A, backoffs.START_KNOWN_S + 1.0)
     assert book.admits(A, backoffs.START_KNOWN_S + 1.0)
 
 
 def test_restart_keeps_a_recent_backoff(book):
     """Restarts become known seconds late, so the restarted replica may have sent the request."""
     book.record(A, 60.0, 0.0)
-    book.start_again(A, 2.0)
+    book.on_restart(A, 2.0)
     assert not book.admits(A, 2.0)
 
 
 def test_backoff_is_dropped_if_the_address_is_reused(book):
     book.record(A, 60.0, 0.0)
-    book.replace(A)
+    book.on_address_reused(A)
     assert book.admits(A, 0.0)
 
 
@@ -110,7 +110,7 @@
     for number in range(backoffs.MAX_REMEMBERED + 50):
         book.record(f"10.0.0.1:{number}", 10.0 + number, 0.0)
     assert book.count(0.0) == backoffs.MAX_REMEMBERED
-    assert book.left_s(f"10.0.0.1:{backoffs.MAX_REMEMBERED + 49}", 0.0) > 0.0
+    assert book.remaining_s(f"10.0.0.1:{backoffs.MAX_REMEMBERED + 49}", 0.0) > 0.0
 
 
 def test_expired_backoff_without_a_probe_is_dropped(book):
--- a/reachlink/pacing/tests/test_book.py
+++ b/reachlink/pacing/tests/test_book.py
@@ -31,16 +31,16 @@
     book.backoffs.record(B, 3.0, 0.0)
     held = book.hold([A, B], 0.0)
     assert held.reason is HoldReason.BACKOFF
-    assert 3.0 <= held.left_s <= ENDED_S
+    assert 3.0 <= held.remaining_s <= ENDED_S
     # The backoff is over, but the replica is not at its usual load yet.
-    assert book.hold([A, B], ENDED_S).left_s == 0.0
+    assert book.hold([A, B], ENDED_S).remaining_s == 0.0
 
 
 def test_hold_has_the_reason_of_the_first_available_replica(book):
     book.backoffs.record(A, 30.0, 0.0)
     block(book, B, 0.5)
     held = book.hold([A, B], 0.0)
-    assert (held.reason, held.left_s) == (HoldReason.LIMIT, 0.5)
+    assert (held.reason, held.remaining_s) == (HoldReason.LIMIT, 0.5)
     # A replica with a limit and a free permit counts as fully available.
     assert book.hold([A, B], 0.6) is None
 
@@ -49,7 +49,7 @@
     book.backoffs.record(A, BACKOFF_S, 0.0)
     assert not book.admits(A, BACKOFF_S)
     block(book, A, 60.0)
-    assert book.left_s(A, 0.0) == 60.0
+    assert book.remaining_s(A, 0.0) == 60.0
     assert not book.admits(A, ASKED_AGAIN_S)
     block(book, B, 0.4)
     assert not book.admits(B, 0.3)
@@ -67,7 +67,7 @@
 def test_state_is_dropped_if_the_address_is_reused(book):
     block(book, A, 60.0)
     book.backoffs.record(A, 60.0, 0.0)
-    book.replace(A)
+    book.on_address_reused(A)
     assert book.admits(A, 0.0)
     assert book.is_empty
 
@@ -82,21 +82,21 @@
     assert not book.admits(A, ASKED_AGAIN_S / 2)
     assert book.admits(A, ASKED_AGAIN_S)
     # Callers are told the wait that was announced last.
-    assert book.hold([A], ASKED_AGAIN_S).left_s == 20.0 - ASKED_AGAIN_S
+    assert book.hold([A], ASKED_AGAIN_S).remaining_s == 20.0 - ASKED_AGAIN_S
 
 
 def test_refusals_affect_placement_only(book):
     book.refusals.note_refused(A, 0.0, 0.0)
     assert not book.admits(A, 0.01)
-    assert book.left_s(A, 0.01) == 0.0
+    assert book.remaining_s(A, 0.01) == 0.0
     assert book.hold([A, B], 0.01) is None
     book.refusals.note_refused(B, 0.0, 0.0)
     held = book.hold([A, B], 0.01)
     assert held.reason is HoldReason.REFUSING
-    assert held.left_s == pytest.approx(refusals.FIRST_S - 0.01)
+    assert held.remaining_s == pytest.approx(refusals.FIRST_S - 0.01)
 
 
-@pytest.mark.parametrize("end", [lambda b: b.start_again(A, 1.0), lambda b: b.replace(A)])
+@pytest.mark.parametrize("end", [lambda b: b.on_restart(A, 1.0), lambda b: b.on_address_reused(A)])
 def test_refusals_are_dropped_on_restart_or_address_reuse(book, end):
     book.refusals.note_refused(A, 0.0, 1.0)
     end(book)
--- a/reachlink/placement/_forecast.py
+++ b/reachlink/placement/_forecast.py
@@ -87,13 +87,13 @@
     def _peak_share(self, request: PlacementRequest, candidate: Candidate) -> float:
         if not candidate.capacity_tokens:
             return 0.0
-        peak = candidate.known.peak_with(request.profile, self._parameters.deviations)
+        peak = candidate.forecast.peak_with(request.profile, self._parameters.deviations)
         return (peak + self._unexplained(candidate)) / candidate.capacity_tokens
 
     def _unexplained(self, candidate: Candidate) -> float:
         """Return reported memory that no known generation explains, discounted by report age."""
         trust = max(0.0, 1.0 - candidate.report_age_s / self._parameters.report_trust_s)
-        return trust * max(0.0, candidate.reported_used_tokens - candidate.known.mean[0])
+        return trust * max(0.0, candidate.reported_used_tokens - candidate.forecast.mean[0])
 
     def _has_room(self, score: _Score) -> bool:
         candidate = score.candidate
--- a/reachlink/placement/_policies.py
+++ b/reachlink/placement/_policies.py
@@ -57,7 +57,7 @@
         Memory of the replica, in tokens; 0 if unknown.
     max_batch : int
         Maximum batch size; 0 if unknown.
-    known : MemoryProfile
+    forecast : MemoryProfile
         Forecast of the generations that entry instances have placed there.
     own_in_flight : int
         Requests in flight from this instance.
@@ -83,7 +83,7 @@
     local: bool = True
     capacity_tokens: int = 0
     max_batch: int = 0
-    known: MemoryProfile = field(default_factory=MemoryProfile)
+    forecast: MemoryProfile = field(default_factory=MemoryProfile)
     own_in_flight: int = 0
     running: float = 0.0
     reported_running: int = 0
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -35,7 +35,7 @@
 def candidate(name: str, running: int = 0, capacity: int = 16384, **more) -> Candidate:
     known = profile(count=running) if running else MemoryProfile()
     return Candidate(
-        name, capacity_tokens=capacity, max_batch=64, known=known, running=running, **more
+        name, capacity_tokens=capacity, max_batch=64, forecast=known, running=running, **more
     )
 
 
--- a/reachlink/requests/_outcome_recorder.py
+++ b/reachlink/requests/_outcome_recorder.py
@@ -113,7 +113,7 @@
     def _record_refusal(self, replica: Replica, sent_at: float) -> None:
         """Note a refusal of a replica that has not said for how long it wants nothing."""
         pacing, now = self._parts.pacing, self._parts.clock()
-        if pacing.backoffs.left_s(replica.address, now):
+        if pacing.backoffs.remaining_s(replica.address, now):
             return
         wait_s = pacing.refusals.note_refused(replica.address, sent_at, now)
         self._log.info("replica_refuses", replica=replica.name, wait_s=round(wait_s, 3))
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -162,7 +162,7 @@
 
     def remaining_hold_s(self, replica: Replica) -> float:
         """Return how long a replica may get nothing by what it has asked for, in seconds."""
-        return self._parts.pacing.left_s(replica.address, self.now())
+        return self._parts.pacing.remaining_s(replica.address, self.now())
 
     async def open(
         self,
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -91,11 +91,11 @@
         # One may have become free since the last look; why it was refused holds all the same.
         hold = hold or request.last_hold
         if hold is not None and hold.reason is not HoldReason.REFUSING:
-            wait = max(RETRY_AFTER_S, hold.left_s)
+            wait = max(RETRY_AFTER_S, hold.remaining_s)
             return RequestFailedError(503, hold.reason.value, Outcome.NOT_RUN, wait)
         wait = ELSEWHERE_AFTER_S if self._parts.cut_off() else RETRY_AFTER_S
         if hold is not None:
-            wait = max(wait, hold.left_s)
+            wait = max(wait, hold.remaining_s)
             return RequestFailedError(503, hold.reason.value, Outcome.NOT_RUN, wait)
         return RequestFailedError(503, attempts.reason, Outcome.NOT_RUN, wait)
 
@@ -112,7 +112,7 @@
         return RequestFailedError(503, reason, Outcome.NOT_RUN, come_back_in_s)
 
     def _held_left_s(self, replica: Replica) -> float:
-        return self._parts.pacing.left_s(replica.address, self._parts.clock())
+        return self._parts.pacing.remaining_s(replica.address, self._parts.clock())
 
     def _budget(self, service: Service) -> RetryBudget:
         budget = self._budgets.get(service.name)
--- a/reachlink/requests/_timely_placing.py
+++ b/reachlink/requests/_timely_placing.py
@@ -57,7 +57,7 @@
             if request.refusal is None and self._placing.reachable.obstacle(request) is None:
                 # The hold may have changed during the placement.
                 hold = self._placing.hold(request, tried) or hold
-                held_s = hold.left_s if hold is not None else None
+                held_s = hold.remaining_s if hold is not None else None
                 pause_s = poll_delay_s(request, parts.clock(), held_s)
             if pause_s is not None:
                 await asyncio.sleep(pause_s)
@@ -81,7 +81,7 @@
             return found
         replica = await self._placing.place(request, tried, calm_only)
         if replica is None and hold is not None and hold.reason is HoldReason.LIMIT:
-            return await self._place_with_permit(request, tried, calm_only, hold.left_s)
+            return await self._place_with_permit(request, tried, calm_only, hold.remaining_s)
         return replica
 
     async def _wait_for_first_list(self, request: CallerRequest) -> bool:
--- a/reachlink/testing/_backoff_load.py
+++ b/reachlink/testing/_backoff_load.py
@@ -75,7 +75,7 @@
 
     def admits(self, address: str, now: float) -> bool:
         """Return whether the backoff is over."""
-        return self.left_s(address, now) == 0.0
+        return self.remaining_s(address, now) == 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/reachlink/upstreams/_connections.py
+++ b/reachlink/upstreams/_connections.py
@@ -106,7 +106,7 @@
         return connection
 
     def _check(self, req: aiohttp.ClientRequest) -> None:
-        left_s = self._backoffs.left_s(address_of(req.url), steady_time())
+        left_s = self._backoffs.remaining_s(address_of(req.url), steady_time())
         if left_s > 0.0:
             raise UpstreamBackoffError(left_s)
 
--- a/reachlink/upstreams/_http.py
+++ b/reachlink/upstreams/_http.py
@@ -216,7 +216,7 @@
         if limit is None:
             return
         now = steady_time()
-        left_s = limits.left_s(address, now)
+        left_s = limits.remaining_s(address, now)
         if left_s > patience_s and not limits.admits(address, now):
             raise UpstreamLimitedError(left_s)
         left_s = await self.gate.acquire(address, limit, PermitOptions(patience_s, background))
