--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -5,7 +5,7 @@
 from reachlink.coordination.tests.world import SERVICE, Instance, fleet, question
 from reachlink.membership import LeavingSource
 from reachlink.requests import Purpose, ReplicaOutcome
-from reachlink.requests.tests.world import until
+from reachlink.requests.tests.world import wait_until
 
 
 def test_a_member_learns_the_replicas_and_what_others_have():
@@ -178,7 +178,7 @@
         network, (c1,), (m1, _) = fleet(coordinators=1)
         m1.begin("r1")
         waiting = asyncio.create_task(m1.follow())
-        await until(lambda: c1.coordinator.members)
+        await wait_until(lambda: c1.coordinator.members)
         c1.directory.mark_leaving("r1", LeavingSource.CLOSING, network.now)
         c1.coordinator.wake_members()
         await waiting
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -27,7 +27,7 @@
     RunnerParts,
     SharedLoad,
 )
-from reachlink.requests.tests.world import MemoryAdapter
+from reachlink.requests.tests.world import FakeAdapter
 from reachlink.routing import EngineLimits, Service
 from reachlink.scheduling import SchedulingSettings
 
@@ -145,7 +145,7 @@
         )
         self.parts = RunnerParts(
             zone,
-            MemoryAdapter(),
+            FakeAdapter(),
             self.directory,
             self.book,
             self.shared,
--- a/reachlink/entry/tests/test_isolation.py
+++ b/reachlink/entry/tests/test_isolation.py
@@ -7,7 +7,7 @@
 from reachlink.entry._isolation import SILENT_S, Isolation
 from reachlink.membership import InstanceRecord
 from reachlink.requests import LoadNote, RequestFailedError, SharedLoad
-from reachlink.requests.tests.world import MemoryAdapter, World, answering
+from reachlink.requests.tests.world import FakeAdapter, World, answering
 from reachlink.routing import RequestKind
 
 NEAR = InstanceRecord("e2", "10.0.0.2:1", "a")
@@ -69,7 +69,7 @@
 
 def cut_off_world(zones: str) -> World:
     names = {f"m{i}": zone for i, zone in enumerate(zones.split(), 1)}
-    world = World(names, MemoryAdapter({name: [answering(200, b"")] for name in names}))
+    world = World(names, FakeAdapter({name: [answering(200, b"")] for name in names}))
     world.runner._parts.cut_off = lambda: True
     return world
 
@@ -111,7 +111,7 @@
 
 def test_a_silent_zone_gets_no_request():
     names = {"m1": "b", "m2": "c"}
-    made = World(names, MemoryAdapter({name: [answering(200, b"")] for name in names}))
+    made = World(names, FakeAdapter({name: [answering(200, b"")] for name in names}))
     made.runner._parts.silent_zones = lambda: {"b"}
     for _ in range(5):
         asyncio.run(made.run(RequestKind.STREAM))
--- a/reachlink/entry/tests/test_list_reader.py
+++ b/reachlink/entry/tests/test_list_reader.py
@@ -7,7 +7,7 @@
 from reachlink.entry._list_news import ListNews
 from reachlink.entry._list_reader import ListReader, ReadingRole
 from reachlink.membership import ListedInstance, PlatformAdapter, ReplicaDirectory
-from reachlink.requests.tests.world import until
+from reachlink.requests.tests.world import wait_until
 
 
 class CountingPlatform(PlatformAdapter):
@@ -68,7 +68,7 @@
             await asyncio.sleep(0)
         assert reading.platform.read == 0
         reading.role = ReadingRole.READS
-        await until(lambda: reading.platform.read)
+        await wait_until(lambda: reading.platform.read)
 
     play(Reading(ReadingRole.UNKNOWN), steps)
 
@@ -78,6 +78,6 @@
     monkeypatch.setattr(_list_reader, "PATIENCE_SPREAD_S", 0.01)
 
     async def steps(reading: Reading) -> None:
-        await until(lambda: reading.platform.read)
+        await wait_until(lambda: reading.platform.read)
 
     play(Reading(ReadingRole.UNKNOWN), steps)
--- a/reachlink/entry/tests/test_report_reader.py
+++ b/reachlink/entry/tests/test_report_reader.py
@@ -6,11 +6,11 @@
 from reachlink.entry._report_reader import ReportReader
 from reachlink.membership import ListedInstance, ReplicaDirectory
 from reachlink.requests import Departures, ReplicaBook, ReplicaNews
-from reachlink.requests.tests.world import MemoryAdapter, until
+from reachlink.requests.tests.world import FakeAdapter, wait_until
 from reachlink.upstreams import LoadReport, LoadSample, Replica
 
 
-class Reports(MemoryAdapter):
+class Reports(FakeAdapter):
     """Tells that the replica leaves at the second reading, and when at the fourth."""
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
             "e1", adapter, directory, ReplicaBook(), lambda: ["chat"], clock, departures
         )
         task = asyncio.create_task(reader.run())
-        await until(lambda: departures.told("r1"))
+        await wait_until(lambda: departures.told("r1"))
         # Nothing is due from here on: a reading that had begun is over by now.
         assert reader._due() == []
         task.cancel()
@@ -76,7 +76,7 @@
     assert not directory.may_get_work("r1")
 
 
-class Paces(MemoryAdapter):
+class Paces(FakeAdapter):
     """Tells a pace with each report, as of one life after the other."""
 
     def __init__(self) -> None:
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -13,10 +13,10 @@
     World,
     answering,
     event,
-    everywhere,
     failing,
     stream,
     world,
+    world_with_script,
 )
 from reachlink.routing import RequestKind
 from reachlink.upstreams import MovedMemory, MoveResult, UpstreamBackoffError
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("kind", list(RequestKind))
 def test_a_request_goes_to_one_that_is_not_in_backoff(kind):
-    made = everywhere("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
+    made = world_with_script("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
     first, second, third = made.zones
     back_off(made, first, third)
     for _ in range(5):
@@ -50,7 +50,7 @@
 def test_what_a_replica_was_chosen_for_before_it_asked_goes_elsewhere_for_free(kind):
     """No connection was used, so that neither the attempts nor the budget are: there is none."""
     prefix = "m" if kind is RequestKind.STREAM else "p"
-    made = everywhere("a a a", prefix, script=failing(UpstreamBackoffError(LONG_S)))
+    made = world_with_script("a a a", prefix, script=failing(UpstreamBackoffError(LONG_S)))
     last = list(made.zones)[-1]
     made.adapter.scripts[last] = [answering(200, stream(1, 2))]
     made.parts.retry_limits = RetryLimits(0.0, 0.0)
@@ -81,7 +81,7 @@
 
 
 def test_no_copy_is_ordered_towards_a_replica_in_backoff():
-    made = everywhere("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
+    made = world_with_script("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
     made.adapter.move_result = MoveResult(MovedMemory("m1:1", "h1"), True)
     backed_off = "m3"
 
@@ -107,7 +107,7 @@
 
 def interrupted(wait_s: float) -> World:
     """Return a world whose stream breaks while the replica of its copy backoffs."""
-    made = everywhere("a a", "m", script=first_then_others)
+    made = world_with_script("a a", "m", script=first_then_others)
     made.engine = BACKUP_ENGINE
     begin = made.adapter.open
 
@@ -152,7 +152,7 @@
 
 def test_an_order_to_copy_waits_for_the_source_to_be_out_of_backoff():
     """The generation runs on there; its copy is not given up."""
-    made = everywhere("a a", "m", script=answering(200, stream(1, 3), 0.9, stream(4, 5)))
+    made = world_with_script("a a", "m", script=answering(200, stream(1, 3), 0.9, stream(4, 5)))
     made.adapter.move_result = MoveResult(MovedMemory("m1:1", "h1"), True)
     moved = made.adapter.move
     refused = []
--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -16,7 +16,7 @@
     ColdRequestWindow,
     request_quota,
 )
-from reachlink.requests.tests.world import OK, everywhere
+from reachlink.requests.tests.world import OK, world_with_script
 from reachlink.routing import RequestKind, Service
 
 # What deployments allow beyond what a cold replica bears, as a factor.
@@ -82,7 +82,7 @@
 
 def test_a_zone_that_comes_back_cold_gets_what_it_bears():
     """Two warm and two cold replicas under a burst: none is refused, the cold ones spared."""
-    made = everywhere("a a b b", script=OK)
+    made = world_with_script("a a b b", script=OK)
     service = Service("plain", "/health", 10, cold_requests_per_s=10.0)
     listed = [
         ListedInstance(name, "plain", zone, f"{name}:1", cold_s=5.0 if zone == "b" else 0.0)
@@ -104,7 +104,7 @@
 
 
 def test_where_all_are_cold_no_more_is_sent_than_they_bear():
-    made = everywhere("a b", script=OK)
+    made = world_with_script("a b", script=OK)
     service = Service("plain", "/health", 10, cold_requests_per_s=5.0)
     made.directory.update(
         [ListedInstance(n, "plain", z, f"{n}:1", cold_s=5.0) for n, z in made.zones.items()],
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -9,7 +9,7 @@
 from reachlink.requests import Departures, Flight, LoadNote, ReplicaBook, ReplicaShare, SharedLoad
 from reachlink.requests._departures import INITIAL_REPORT_AGE_S, NOTICE_S, RETENTION_S
 from reachlink.requests._load_notes import RESUME_TOLERANCE_S
-from reachlink.requests.tests.world import answering, everywhere, stream
+from reachlink.requests.tests.world import answering, stream, world_with_script
 from reachlink.routing import RequestKind
 from reachlink.scheduling import ReplicaOption, choose_replica, prefill_ends_before_resume
 
@@ -89,7 +89,7 @@
 
 def test_a_prompt_waits_until_the_joint_is_over_but_is_not_refused_for_it():
     async def play() -> tuple[float, bytes]:
-        world = everywhere("a", "m", script=answering(200, stream(1, 2)))
+        world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         loop = asyncio.get_running_loop()
         began = loop.time()
         world.book.add("m1", Flight("g1", 3000, copy=True, joins_at=began + 0.05))
@@ -103,7 +103,7 @@
 
 def test_a_joint_that_never_comes_holds_nothing_up_for_long():
     async def play() -> bytes:
-        world = everywhere("a", "m", script=answering(200, stream(1, 2)))
+        world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         now = steady_time()
         world.runner._parts.book.add("m1", Flight("g1", 3000, copy=True, joins_at=now + 0.3))
         world.runner._parts.book.add("m1", Flight("g2", 3000, copy=True, joins_at=now + 0.6))
--- a/reachlink/requests/tests/test_first_list.py
+++ b/reachlink/requests/tests/test_first_list.py
@@ -7,7 +7,7 @@
 
 from reachlink.membership import ListedInstance, ReplicaDirectory
 from reachlink.requests import RequestFailedError
-from reachlink.requests.tests.world import ROUTES, MemorySink, World, world
+from reachlink.requests.tests.world import ROUTES, FakeSink, World, world
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
 
@@ -37,7 +37,7 @@
         setattr(request, name, value)
     began = loop_time()
     try:
-        await made.runner.run(request, MemorySink())
+        await made.runner.run(request, FakeSink())
     except RequestFailedError as error:
         return error.reason, loop_time() - began
     return "delivered", loop_time() - began
--- a/reachlink/requests/tests/test_held.py
+++ b/reachlink/requests/tests/test_held.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reachlink.requests import RequestFailedError, StreamCutError
-from reachlink.requests.tests.world import BROKEN, World, event, failing, stream, until, world
+from reachlink.requests.tests.world import BROKEN, World, event, failing, stream, wait_until, world
 from reachlink.requests.tests.world import answering as answers
 from reachlink.routing import RequestKind
 
@@ -37,7 +37,9 @@
         if len(made.adapter.sent) == sent:
             break
         # What the breaks mean is found out: each replica that got it was looked at.
-        await until(lambda: set(made.adapter.touched) >= {s.replica for s in made.adapter.sent})
+        await wait_until(
+            lambda: set(made.adapter.touched) >= {s.replica for s in made.adapter.sent}
+        )
         await asyncio.sleep(0.0)
         # Replicas come back, trusted, as if other requests had gone well there.
         for name in made.zones:
@@ -92,7 +94,7 @@
         made = world("a a", "m")
         made.adapter.scripts = {name: [answers(200, 3.0, event(0))] for name in made.zones}
         asking = asyncio.create_task(ask(made, RequestKind.STREAM))
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         await asyncio.sleep(0.0)
         for at in range(3):
             crash(made, at)
--- a/reachlink/requests/tests/test_homes.py
+++ b/reachlink/requests/tests/test_homes.py
@@ -7,7 +7,14 @@
 
 from reachlink.delivery import Outcome
 from reachlink.requests import RequestFailedError
-from reachlink.requests.tests.world import MemorySink, World, answering, everywhere, stream, until
+from reachlink.requests.tests.world import (
+    FakeSink,
+    World,
+    answering,
+    stream,
+    wait_until,
+    world_with_script,
+)
 from reachlink.routing import RequestKind, Route, Workspace, allowed_regions
 from reachlink.upstreams import MovedMemory, MoveResult
 
@@ -25,16 +32,16 @@
     assert allowed_regions(route("south"), north) == frozenset()
 
 
-async def run(made: World, zones: Set[str]) -> MemorySink:
+async def run(made: World, zones: Set[str]) -> FakeSink:
     request = made.request(RequestKind.STREAM)
     request.zones = frozenset(zones)
-    sink = MemorySink()
+    sink = FakeSink()
     await made.runner.run(request, sink)
     return sink
 
 
 def test_requests_run_at_home_however_busy_it_is():
-    made = everywhere("a a b", "m", script=answering(200, stream(1, 2)))
+    made = world_with_script("a a b", "m", script=answering(200, stream(1, 2)))
 
     async def scenario():
         return [await run(made, {"b"}) for _ in range(10)]
@@ -44,12 +51,14 @@
 
 
 def test_copies_stay_at_home_too():
-    made = everywhere("a b b c c", "m", script=answering(200, stream(1, 3), 0.6, stream(4, 5)))
+    made = world_with_script(
+        "a b b c c", "m", script=answering(200, stream(1, 3), 0.6, stream(4, 5))
+    )
     made.adapter.move_result = MoveResult(MovedMemory("m1:1", "h1"), True)
 
     async def scenario():
         running = asyncio.create_task(run(made, {"b"}))
-        await until(lambda: made.adapter.moves)
+        await wait_until(lambda: made.adapter.moves)
         await running
 
     asyncio.run(scenario())
@@ -58,7 +67,7 @@
 
 @pytest.mark.parametrize("zones", [{"elsewhere"}, set()])
 def test_without_a_home_in_reach_callers_learn_it_at_once(zones):
-    made = everywhere("a b", "m", script=answering(200, stream(1, 2)))
+    made = world_with_script("a b", "m", script=answering(200, stream(1, 2)))
     with pytest.raises(RequestFailedError) as caught:
         asyncio.run(run(made, zones))
     error = caught.value
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -12,7 +12,7 @@
 import pytest
 
 from reachlink.requests import LoadNote, ReplicaShare, StreamCutError
-from reachlink.requests.tests.world import BROKEN, World, answering, everywhere, stream
+from reachlink.requests.tests.world import BROKEN, World, answering, stream, world_with_script
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
 from reachlink.upstreams import MovedMemory, MoveResult, MoveSetback
@@ -39,7 +39,7 @@
             return await answering(200, stream(1, 3), breaks_after_s, BROKEN)(sent)
         return await answering(200, stream(4, 6))(sent)
 
-    made = everywhere("a a a a", "m", script=breaking)
+    made = world_with_script("a a a a", "m", script=breaking)
     made.adapter.move_result, made.adapter.move_takes_s = MOVED, 0.6
     made.parts.clock = loop_time
     return made
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -15,9 +15,9 @@
     answering,
     event,
     stream,
-    until,
+    wait_until,
+    world_with_script,
 )
-from reachlink.requests.tests.world import everywhere as fleet
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
 from reachlink.upstreams import MovedMemory, MoveResult
@@ -35,14 +35,14 @@
     monkeypatch.setattr("reachlink.requests.tests.world.steady_time", loop_time)
 
 
-def everywhere(zones: str, prefix: str, *, script: Script) -> World:
-    made = fleet(zones, prefix, script=script)
+def virtual_time_world(zones: str, prefix: str, *, script: Script) -> World:
+    made = world_with_script(zones, prefix, script=script)
     made.parts.clock = loop_time
     return made
 
 
 def test_a_stream_goes_on_at_its_copy():
-    made = everywhere("a a", "m", script=first_then_rest)
+    made = virtual_time_world("a a", "m", script=first_then_rest)
     made.engine = BACKUP_ENGINE
     sink = run_virtually(made.run(RequestKind.STREAM))
     assert sink.body == stream(1, 6) and sink.ended
@@ -66,7 +66,7 @@
             return await answering(200, stream(1, 3), BROKEN)(sent)
         return await answering(200, stream(2, 5))(sent)
 
-    made = everywhere("a a", "m", script=again)
+    made = virtual_time_world("a a", "m", script=again)
     made.engine = BACKUP_ENGINE
     assert run_virtually(made.run(RequestKind.STREAM)).body == stream(1, 5)
 
@@ -77,7 +77,7 @@
             return await answering(200, stream(1, 3), BROKEN)(sent)
         return await NOT_RUN(sent)
 
-    made = everywhere("a a", "m", script=refusing)
+    made = virtual_time_world("a a", "m", script=refusing)
     made.engine = BACKUP_ENGINE
     with pytest.raises(StreamCutError):
         run_virtually(made.run(RequestKind.STREAM))
@@ -85,7 +85,7 @@
 
 
 def test_a_generation_is_copied_when_its_replica_leaves():
-    made = everywhere("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
+    made = virtual_time_world("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
     made.adapter.move_result = MoveResult(MovedMemory("m1:1", "h1"), True)
 
     async def scenario():
@@ -95,7 +95,7 @@
         home = made.adapter.sent[0].replica
         made.list_replicas(home)
         sink = await running
-        await until(lambda: made.adapter.released)
+        await wait_until(lambda: made.adapter.released)
         return home, sink
 
     home, sink = run_virtually(scenario())
@@ -106,14 +106,16 @@
 
 
 def test_a_generation_that_outlasts_its_guess_is_copied_when_its_replica_leaves():
-    made = everywhere("a a a", "m", script=answering(200, stream(1, 60), 0.4, stream(61, 62)))
+    made = virtual_time_world(
+        "a a a", "m", script=answering(200, stream(1, 60), 0.4, stream(61, 62))
+    )
     made.adapter.move_result = MOVED
 
     async def scenario():
         running = asyncio.create_task(
             made.run(RequestKind.STREAM, output_tokens=1000, expected_tokens=200)
         )
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         await asyncio.sleep(0)
         home = made.adapter.sent[0].replica
         made.list_replicas(home)
@@ -125,18 +127,18 @@
 
 
 def test_a_copy_where_the_replica_leaves_with_the_home_is_replaced():
-    made = everywhere("a a a", "m", script=answering(200, stream(1, 3), 0.9, stream(4, 5)))
+    made = virtual_time_world("a a a", "m", script=answering(200, stream(1, 3), 0.9, stream(4, 5)))
     made.adapter.move_result = MOVED
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        await until(lambda: made.adapter.moves)
+        await wait_until(lambda: made.adapter.moves)
         home, target, _ = made.adapter.moves[0]
         now = loop_time()
         for name in (home, target):
             made.departures.report(name, now, leaves_in_s=2.0)
         made.list_replicas(home, target)
-        await until(lambda: {t for _, t, _ in made.adapter.moves} - {target})
+        await wait_until(lambda: {t for _, t, _ in made.adapter.moves} - {target})
         running.cancel()
         await asyncio.wait({running})
         return home, target
@@ -155,7 +157,7 @@
             return await answering(200, stream(1, 3), 30.0, stream(4, 6))(sent)
         return await answering(200, stream(4, 6))(sent)
 
-    made = everywhere("a a", "m", script=silent)
+    made = virtual_time_world("a a", "m", script=silent)
     made.engine = BACKUP_ENGINE
     assert run_virtually(made.run(RequestKind.STREAM)).body == stream(1, 6)
 
@@ -166,7 +168,7 @@
             return await answering(200, stream(1, 3), 0.3, BROKEN)(sent)
         return await answering(200, stream(4, 6))(sent)
 
-    made = everywhere("a a", "m", script=breaking)
+    made = virtual_time_world("a a", "m", script=breaking)
     made.adapter.move_result = MOVED
     sink = run_virtually(made.run(RequestKind.STREAM))
     assert sink.body == stream(1, 6) and sink.ended
@@ -176,16 +178,16 @@
 
 
 def test_a_copy_gives_way_to_what_others_need():
-    made = everywhere("a a", "m", script=answering(200, stream(1, 3), 5.0))
+    made = virtual_time_world("a a", "m", script=answering(200, stream(1, 3), 5.0))
     made.adapter.move_result = MOVED
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        await until(lambda: made.adapter.moves)
+        await wait_until(lambda: made.adapter.moves)
         _, target, _ = made.adapter.moves[0]
         others = ReplicaShare(target, 9, 36_000, 0, 36_000)
         made.shared.take(LoadNote("e2", [others]), loop_time())
-        await until(lambda: made.adapter.released)
+        await wait_until(lambda: made.adapter.released)
         running.cancel()
         await asyncio.wait({running})
 
@@ -196,13 +198,13 @@
 def test_a_copy_that_is_not_wanted_any_more_is_freed_though_it_is_on_its_way(monkeypatch):
     """Found by reading: a move that was cancelled kept its memory at the target."""
     monkeypatch.setattr("reachlink.requests._generation_places.BEGIN_SHARE", 1.0)
-    made = everywhere("a a", "m", script=answering(200, stream(1, 3), 0.15))
+    made = virtual_time_world("a a", "m", script=answering(200, stream(1, 3), 0.15))
     made.adapter.move_result, made.adapter.move_takes_s = MOVED, 0.3
 
     async def scenario():
         sink = await made.run(RequestKind.STREAM)
         assert sink.ended and not made.adapter.released
-        await until(lambda: made.adapter.released)
+        await wait_until(lambda: made.adapter.released)
 
     run_virtually(scenario())
     assert made.adapter.released == [MEMORY]
@@ -210,12 +212,12 @@
 
 def test_no_copy_is_begun_for_what_stays_while_a_replica_is_evacuated(monkeypatch):
     monkeypatch.setattr("reachlink.requests._generation_places.BEGIN_SHARE", 1.0)
-    made = everywhere("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
+    made = virtual_time_world("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
     made.adapter.move_result = MOVED
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         home = made.adapter.sent[0].replica
         other = next(name for name in made.zones if name != home)
         now = loop_time()
@@ -229,7 +231,7 @@
 
 
 def test_a_copy_on_its_way_keeps_other_copies_from_its_target():
-    made = everywhere("a a", "m", script=answering(200, stream(1, 3), 0.5))
+    made = virtual_time_world("a a", "m", script=answering(200, stream(1, 3), 0.5))
     made.adapter.move_result = MOVED
 
     async def scenario():
@@ -244,16 +246,16 @@
 
 def test_a_copy_that_went_with_its_replicas_life_is_not_gone_on_from():
     """It has started again under its name and holds nothing of before."""
-    made = everywhere("a a a", "m", script=answering(200, stream(1, 3), 0.4, BROKEN))
+    made = virtual_time_world("a a a", "m", script=answering(200, stream(1, 3), 0.4, BROKEN))
     made.adapter.move_result = MOVED
     for name in made.zones:
         made.directory.note_born(name, 100, 0.0)
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM, output_tokens=300))
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         made.list_replicas(made.adapter.sent[0].replica)
-        await until(lambda: made.adapter.moves)
+        await wait_until(lambda: made.adapter.moves)
         # No other copy arrives in time.
         made.adapter.move_takes_s = 5.0
         made.directory.note_born(made.adapter.moves[0][1], 200, 0.0)
--- a/reachlink/requests/tests/test_paces.py
+++ b/reachlink/requests/tests/test_paces.py
@@ -11,13 +11,13 @@
 from reachlink.requests import RequestFailedError
 from reachlink.requests.tests.world import (
     PLAIN,
-    Dispatched,
-    MemoryAnswer,
+    FakeAnswer,
+    SentRequest,
     World,
     answering,
     event,
-    everywhere,
     world,
+    world_with_script,
 )
 from reachlink.routing import RequestKind
 from reachlink.scheduling import NOMINAL_PACE, Pace, SchedulingSettings
@@ -87,14 +87,14 @@
 
 @pytest.mark.parametrize("pace,asked", [(None, True), (0.55, False)])
 def test_where_none_is_told_or_asked_for_placing_gets_none(pace, asked):
-    made = everywhere("a a", script=telling(pace))
+    made = world_with_script("a a", script=telling(pace))
     made.parts.scheduling = SchedulingSettings(pace=asked)
     play(made, RequestKind.REPEATABLE)
     assert set(options(made).values()) == {None}
 
 
 def test_a_new_lifetime_begins_with_the_usual_pace():
-    made = everywhere("a", script=telling(1.2))
+    made = world_with_script("a", script=telling(1.2))
     play(made, RequestKind.REPEATABLE)
     assert paces(made, "plain", "p1") == [1.2]
     made.book.start_again("p1")
@@ -148,7 +148,7 @@
 
 def spread(random: Random) -> tuple[int, ...]:
     """Return how many of three streams each replica got, the most first."""
-    made = everywhere("a a a", "m", script=telling(1.0, *events(2, 0.03)))
+    made = world_with_script("a a a", "m", script=telling(1.0, *events(2, 0.03)))
     made.parts.random = random
     play(made, *[RequestKind.STREAM] * 3, tokens=SHORT)
     counts = Counter(sent.replica for sent in made.adapter.sent)
@@ -244,15 +244,15 @@
     """Return where calls go, 100 a second, in the second after `p1` has begun to hang."""
     sent: list[str] = []
 
-    async def script(call: Dispatched) -> MemoryAnswer:
+    async def script(call: SentRequest) -> FakeAnswer:
         if 2.0 < loop_time() < 3.0:
             sent.append(call.replica)
         if call.replica == "p1" and loop_time() > 2.0:
             await asyncio.sleep(60.0)
         await asyncio.sleep(0.1)
-        return MemoryAnswer(AnswerHead(200, load=LoadSample(1, 0, 6, 1.0)), [b"whole"])
+        return FakeAnswer(AnswerHead(200, load=LoadSample(1, 0, 6, 1.0)), [b"whole"])
 
-    made = everywhere("a a a a", script=script)
+    made = world_with_script("a a a a", script=script)
     made.parts.random, made.parts.clock = random, loop_time
 
     async def call(after_s: float) -> None:
--- a/reachlink/requests/tests/test_paces_beside_callers.py
+++ b/reachlink/requests/tests/test_paces_beside_callers.py
@@ -7,9 +7,9 @@
 
 from reachlink.requests.tests.test_paces import loop_time, paces
 from reachlink.requests.tests.world import (
-    Dispatched,
-    MemoryAnswer,
-    MemorySink,
+    FakeAnswer,
+    FakeSink,
+    SentRequest,
     event,
     world,
 )
@@ -29,7 +29,7 @@
     monkeypatch.setattr("reachlink.requests.tests.world.steady_time", loop_time)
 
 
-class Steady(MemoryAnswer):
+class Steady(FakeAnswer):
     """Makes an event each 30 ms, be it read or not, as long as its buffers hold them."""
 
     def __init__(self, head: AnswerHead) -> None:
@@ -47,11 +47,11 @@
         return b"".join(event(number) for number in range(first, self._given))
 
 
-async def steady(sent: Dispatched) -> MemoryAnswer:
+async def steady(sent: SentRequest) -> FakeAnswer:
     return Steady(AnswerHead(200, load=LoadSample(1, 0, 24, 1.0)))
 
 
-class SlowSink(MemorySink):
+class SlowSink(FakeSink):
     """Reads for some time, then not at all for some."""
 
     def __init__(self, reads_s: float, rests_s: float) -> None:
--- a/reachlink/requests/tests/test_paces_beside_room.py
+++ b/reachlink/requests/tests/test_paces_beside_room.py
@@ -7,7 +7,7 @@
 
 from reachlink.limits import BufferBudget, BufferKind, CallerBuffer
 from reachlink.requests.tests.test_paces import loop_time, paces, telling
-from reachlink.requests.tests.world import MemorySink, World, world
+from reachlink.requests.tests.world import FakeSink, World, world
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
 
@@ -25,7 +25,7 @@
     request.route = replace(request.route, timeout_s=60.0)
     request.caller_timeout_s = 60.0
     request.caller_buffer = CallerBuffer(budget)
-    await made.runner.run(request, MemorySink())
+    await made.runner.run(request, FakeSink())
     request.caller_buffer.release()
 
 
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -8,13 +8,13 @@
 from reachlink.requests import Flight, RequestFailedError, RetryLimits
 from reachlink.requests.tests.world import (
     OK,
-    Dispatched,
-    MemoryAnswer,
+    FakeAnswer,
     Script,
+    SentRequest,
     World,
     answering,
-    everywhere,
     stream,
+    world_with_script,
 )
 from reachlink.routing import RequestKind
 from reachlink.upstreams import UpstreamLimitedError
@@ -36,7 +36,7 @@
 
 @pytest.mark.parametrize("kind", list(RequestKind))
 def test_a_request_goes_to_one_that_has_something_left(kind):
-    made = everywhere("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
+    made = world_with_script("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
     first, second, third = made.zones
     limit(made, 60.0, first, third)
     if kind is RequestKind.STREAM:
@@ -46,7 +46,7 @@
 
 
 def test_where_all_are_held_back_the_first_turn_is_waited_for():
-    made = everywhere("a a", script=OK)
+    made = world_with_script("a a", script=OK)
     later, sooner = made.zones
     limit(made, 60.0, later)
     limit(made, 0.05, sooner)
@@ -65,7 +65,7 @@
 
 
 def test_a_replica_that_was_found_to_leave_during_the_wait_gets_nothing():
-    made = everywhere("a", script=OK)
+    made = world_with_script("a", script=OK)
     (only,) = made.zones
     limit(made, 1.9, only)
 
@@ -80,7 +80,7 @@
 
 
 def test_who_has_no_turn_in_time_is_told_at_once_when_the_next_is():
-    made = everywhere("a a", script=OK)
+    made = world_with_script("a a", script=OK)
     limit(made, 7.0, *made.zones)
     begun = made.now()
     with pytest.raises(RequestFailedError) as caught:
@@ -93,7 +93,7 @@
 def refusing(made: World) -> Script:
     """Answer as the client does where others had the permits: nothing is sent, and that noted."""
 
-    async def script(sent: Dispatched) -> MemoryAnswer:
+    async def script(sent: SentRequest) -> FakeAnswer:
         limit(made, LONG_S, sent.replica)
         raise UpstreamLimitedError(LONG_S)
 
@@ -102,7 +102,7 @@
 
 @pytest.mark.parametrize("kind", list(RequestKind))
 def test_turns_that_others_had_cost_neither_attempts_nor_retries(kind):
-    made = everywhere("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
+    made = world_with_script("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
     *refused, last = made.zones
     for name in refused:
         made.adapter.scripts[name] = [refusing(made)]
@@ -120,7 +120,7 @@
 
 def test_one_that_was_held_back_is_told_so_also_where_a_replica_is_free_by_then():
     """Callers were told that there is no replica where a permit came free just then."""
-    made = everywhere("a", script=OK)
+    made = world_with_script("a", script=OK)
     (only,) = made.zones
     limit(made, 60.0, only)
     placing = made.runner.placing
--- a/reachlink/requests/tests/test_refused.py
+++ b/reachlink/requests/tests/test_refused.py
@@ -6,7 +6,7 @@
 
 from reachlink.delivery import Outcome
 from reachlink.requests import RequestFailedError
-from reachlink.requests.tests.world import OK, MemorySink, everywhere, world
+from reachlink.requests.tests.world import OK, FakeSink, world, world_with_script
 from reachlink.routing import RequestKind
 from reachlink.scheduling import RefusalReason, Refuse
 
@@ -20,7 +20,7 @@
 
     made.runner._dispatch.place_or_wait = place_or_wait
     with pytest.raises(RequestFailedError) as caught:
-        asyncio.run(made.runner.run(request, MemorySink()))
+        asyncio.run(made.runner.run(request, FakeSink()))
     return caught.value
 
 
@@ -42,7 +42,7 @@
 
 
 def test_a_question_tells_what_makes_a_request_the_same():
-    made = everywhere(script=OK)
+    made = world_with_script(script=OK)
     request = made.request(RequestKind.ONCE)
     request.relay.fingerprint = 77
     assert made.runner.placing.question(request, set()).fingerprint == 77
--- a/reachlink/requests/tests/test_refusing.py
+++ b/reachlink/requests/tests/test_refusing.py
@@ -7,7 +7,7 @@
 from reachlink.kernel import steady_time
 from reachlink.pacing import _refusals as refusals
 from reachlink.requests import RequestFailedError, RetryLimits
-from reachlink.requests.tests.world import NOT_RUN, MemorySink, World, answering, world
+from reachlink.requests.tests.world import NOT_RUN, FakeSink, World, answering, world
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
 
@@ -35,7 +35,7 @@
             request = self.made.request(kind)
             request.arrived_at = self.now
             try:
-                await self.made.runner.run(request, MemorySink())
+                await self.made.runner.run(request, FakeSink())
                 self.ends.append("delivered")
             except RequestFailedError as error:
                 self.ends.append(error.reason)
--- a/reachlink/requests/tests/test_replica_bytes.py
+++ b/reachlink/requests/tests/test_replica_bytes.py
@@ -8,10 +8,10 @@
 from reachlink.limits import BufferBudget, BufferKind, CallerBuffer
 from reachlink.requests import CallerRequest, RequestFailedError
 from reachlink.requests.tests.world import (
-    Dispatched,
-    MemoryAdapter,
-    MemoryAnswer,
-    MemorySink,
+    FakeAdapter,
+    FakeAnswer,
+    FakeSink,
+    SentRequest,
     World,
     answering,
 )
@@ -30,14 +30,14 @@
         self.at: list[str] = []
         self.gate = asyncio.Event()
 
-    async def __call__(self, sent: Dispatched) -> MemoryAnswer:
+    async def __call__(self, sent: SentRequest) -> FakeAnswer:
         self.at.append(sent.replica)
         await self.gate.wait()
-        return MemoryAnswer(AnswerHead(200), [b"whole"])
+        return FakeAnswer(AnswerHead(200), [b"whole"])
 
 
 def world_of(script, limited: bool = True) -> World:
-    world = World({"p1": "a", "p2": "a"}, MemoryAdapter({"p1": [script], "p2": [script]}))
+    world = World({"p1": "a", "p2": "a"}, FakeAdapter({"p1": [script], "p2": [script]}))
     world.parts.scheduling = SchedulingSettings(held_bytes=1 if limited else 0)
     return world
 
@@ -50,10 +50,10 @@
     return request
 
 
-async def send(world: World, body: bytes) -> MemorySink:
+async def send(world: World, body: bytes) -> FakeSink:
     request = patient(world, RequestKind.ONCE)
     request.relay.body = body
-    sink = MemorySink()
+    sink = FakeSink()
     await world.runner.run(request, sink)
     return sink
 
@@ -103,7 +103,7 @@
         budget.adjust(BufferKind.REQUEST, 5 * MB)
         request = patient(world, RequestKind.REPEATABLE)
         request.caller_buffer = CallerBuffer(budget)
-        sink = MemorySink()
+        sink = FakeSink()
         running = asyncio.create_task(world.runner.run(request, sink))
         await until(lambda: len(world.adapter.sent) == 1)
         # Longer than the replica has for its answer.
@@ -124,7 +124,7 @@
         request = patient(world, RequestKind.ONCE)
         request.caller_buffer = CallerBuffer(BufferBudget(6 * MB))
         with pytest.raises(RequestFailedError) as failed:
-            await world.runner.run(request, MemorySink())
+            await world.runner.run(request, FakeSink())
         assert (failed.value.status, failed.value.outcome.value) == (502, "unknown")
 
     asyncio.run(work())
@@ -134,16 +134,16 @@
     async def work() -> None:
         asked: list[str] = []
 
-        async def script(sent: Dispatched) -> MemoryAnswer:
+        async def script(sent: SentRequest) -> FakeAnswer:
             asked.append(sent.replica)
             first = len(asked) == 1
-            return MemoryAnswer(AnswerHead(500 if first else 200), [b"a" * MB, 0.05])
+            return FakeAnswer(AnswerHead(500 if first else 200), [b"a" * MB, 0.05])
 
         world = world_of(script)
         budget = BufferBudget(12 * MB)
         request = patient(world, RequestKind.REPEATABLE)
         request.caller_buffer = CallerBuffer(budget)
-        sink = MemorySink()
+        sink = FakeSink()
         running = asyncio.create_task(world.runner.run(request, sink))
         most = 0
         while not running.done():
--- a/reachlink/requests/tests/test_runner.py
+++ b/reachlink/requests/tests/test_runner.py
@@ -14,11 +14,11 @@
     World,
     answering,
     event,
-    everywhere,
     failing,
     stream,
-    until,
+    wait_until,
     world,
+    world_with_script,
 )
 from reachlink.routing import RequestKind
 from reachlink.upstreams import UpstreamUnreachableError
@@ -33,26 +33,26 @@
 
 
 def test_a_whole_answer_is_given_as_it_came():
-    made = everywhere(script=answering(404, b"no", b" such", headers=[("X", "1")]))
+    made = world_with_script(script=answering(404, b"no", b" such", headers=[("X", "1")]))
     sink = asyncio.run(made.run(RequestKind.ONCE))
     assert (sink.head.status, sink.body, sink.head.headers) == (404, b"no such", [("X", "1")])
 
 
 def test_what_may_have_run_once_is_not_sent_again():
-    made = everywhere(script=failing(BROKEN))
+    made = world_with_script(script=failing(BROKEN))
     error = refused(made, RequestKind.ONCE)
     assert (error.status, error.outcome) == (502, Outcome.UNKNOWN)
     assert len(made.adapter.sent) == 1
 
 
 def test_an_answer_cut_off_is_not_given_and_not_promised_unrun():
-    made = everywhere(script=answering(200, b"half", BROKEN))
+    made = world_with_script(script=answering(200, b"half", BROKEN))
     error = refused(made, RequestKind.ONCE)
     assert error.status == 502 and len(made.adapter.sent) == 1
 
 
 def test_a_refusal_of_the_replica_goes_to_another():
-    made = everywhere(script=NOT_RUN)
+    made = world_with_script(script=NOT_RUN)
     name = next(iter(made.zones))
     made.adapter.scripts[name] = [OK]
     for _ in range(5):
@@ -60,26 +60,26 @@
 
 
 def test_not_run_is_said_only_where_it_is_true():
-    made = everywhere(script=NOT_RUN)
+    made = world_with_script(script=NOT_RUN)
     error = refused(made, RequestKind.ONCE)
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert error.retry_after_s is not None
 
 
 def test_no_more_replicas_than_allowed():
-    made = everywhere("a a a a", script=NOT_RUN)
+    made = world_with_script("a a a a", script=NOT_RUN)
     refused(made, RequestKind.ONCE)
     assert len(made.adapter.sent) == 2
 
 
 def test_a_replica_that_cannot_be_reached_does_not_count_as_one():
-    made = everywhere("a a a a", script=failing(UNREACHABLE))
+    made = world_with_script("a a a a", script=failing(UNREACHABLE))
     error = refused(made, RequestKind.ONCE, max_attempts=1)
     assert error.status == 503 and len(made.adapter.sent) == 4
 
 
 def test_a_repeatable_request_is_sent_again():
-    made = everywhere(script=OK)
+    made = world_with_script(script=OK)
     for name in made.zones:
         made.adapter.scripts[name] = [failing(BROKEN), OK]
     made.adapter.scripts["p2"] = [OK]
@@ -87,7 +87,7 @@
 
 
 def test_a_repeatable_request_gets_the_last_failure_where_all_fail():
-    made = everywhere(script=answering(500, b"sorry"))
+    made = world_with_script(script=answering(500, b"sorry"))
     sink = asyncio.run(made.run(RequestKind.REPEATABLE))
     assert sink.head.status == 500 and len(made.adapter.sent) == 2
 
@@ -99,31 +99,31 @@
 
 
 def test_a_success_that_is_not_the_replicas_own_is_not_given():
-    made = everywhere(script=answering(200, b"x", genuine=False))
+    made = world_with_script(script=answering(200, b"x", genuine=False))
     assert refused(made, RequestKind.ONCE).status == 502
 
 
 def test_the_time_handed_on_is_what_remains():
-    made = everywhere(script=OK)
+    made = world_with_script(script=OK)
     asyncio.run(made.run(RequestKind.ONCE, timeout_s=0.5))
     assert 0.3 < made.adapter.sent[0].left_s <= 0.5
 
 
 def test_at_its_timeout_a_request_gets_its_answer():
-    made = everywhere(script=answering(200, 9.0))
+    made = world_with_script(script=answering(200, 9.0))
     error = refused(made, RequestKind.ONCE, timeout_s=0.05)
     assert (error.status, error.outcome) == (504, Outcome.UNKNOWN)
 
 
 def test_retries_are_bounded_by_the_budget():
-    made = everywhere("a a a a", script=NOT_RUN)
+    made = world_with_script("a a a a", script=NOT_RUN)
     for _ in range(40):
         refused(made, RequestKind.ONCE, objective_s=0.01)
     assert len(made.adapter.sent) <= 40 * 1.1 + 3
 
 
 def test_many_instances_share_what_may_be_sent_again():
-    made = everywhere("a a a a", script=NOT_RUN)
+    made = world_with_script("a a a a", script=NOT_RUN)
     parts = made.runner._parts
     parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=8.0), lambda: 8
     for _ in range(40):
@@ -132,7 +132,7 @@
 
 
 def test_nothing_new_goes_to_a_replica_that_leaves():
-    made = everywhere(script=OK)
+    made = world_with_script(script=OK)
     made.list_replicas("p1")
     for _ in range(10):
         asyncio.run(made.run(RequestKind.ONCE))
@@ -140,7 +140,7 @@
 
 
 def test_a_zone_that_cannot_be_reached_costs_one_attempt():
-    made = everywhere("b b b a", script=failing(UNREACHABLE))
+    made = world_with_script("b b b a", script=failing(UNREACHABLE))
     made.adapter.scripts["p4"] = [OK]
     asyncio.run(made.run(RequestKind.ONCE))
     far = [s for s in made.adapter.sent if s.replica != "p4"]
@@ -149,26 +149,26 @@
 
 def test_a_stream_is_given_on_whole_events_at_a_time():
     body = stream(1, 9)
-    made = everywhere("a a", "m", script=answering(200, body[:30], body[30:31], body[31:]))
+    made = world_with_script("a a", "m", script=answering(200, body[:30], body[30:31], body[31:]))
     sink = asyncio.run(made.run(RequestKind.STREAM))
     assert sink.body == body and sink.ended
 
 
 def test_a_stream_with_a_missing_event_does_not_look_complete():
-    made = everywhere("a a", "m", script=answering(200, event(1), event(3)))
+    made = world_with_script("a a", "m", script=answering(200, event(1), event(3)))
     with pytest.raises(StreamCutError, match="event_missing"):
         asyncio.run(made.run(RequestKind.STREAM))
 
 
 def test_a_stream_without_a_copy_is_broken_off_and_not_begun_again():
-    made = everywhere("a a", "m", script=answering(200, stream(1, 3), BROKEN))
+    made = world_with_script("a a", "m", script=answering(200, stream(1, 3), BROKEN))
     with pytest.raises(StreamCutError):
         asyncio.run(made.run(RequestKind.STREAM, output_tokens=20))
     assert len(made.adapter.sent) == 1
 
 
 def test_a_caller_that_leaves_ends_the_work():
-    made = everywhere("a a", "m", script=answering(200, stream(1, 3), 30.0))
+    made = world_with_script("a a", "m", script=answering(200, stream(1, 3), 30.0))
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
@@ -188,7 +188,7 @@
 
 def test_replicas_that_came_back_under_other_names_cost_no_caller_anything():
     """Ten of a zone's replicas crash and come back: lists have the names before for seconds."""
-    made = everywhere("a " * 10 + "b", script=MISDIRECTED)
+    made = world_with_script("a " * 10 + "b", script=MISDIRECTED)
     made.adapter.scripts["p11"] = [OK]
     made.runner._dispatch._parts.retry_limits = RetryLimits(share=10.0, burst=20.0)
     for _ in range(20):
@@ -200,7 +200,7 @@
 
 
 def test_what_was_misdirected_takes_from_the_retry_budget():
-    made = everywhere("a a", script=MISDIRECTED)
+    made = world_with_script("a a", script=MISDIRECTED)
     parts = made.runner._dispatch._parts
     parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=1.0), lambda: 1
     error = refused(made, RequestKind.ONCE, max_attempts=1)
@@ -212,7 +212,7 @@
 
 def test_in_a_zone_that_is_cut_off_callers_are_told_to_come_back_when_others_are_found():
     """The balancer needs more than a second to send them elsewhere."""
-    made = everywhere("a a", script=NOT_RUN)
+    made = world_with_script("a a", script=NOT_RUN)
     made.runner._dispatch._parts.cut_off = lambda: True
     error = refused(made, RequestKind.ONCE)
     assert (error.reason, error.retry_after_s) == ("not_run", 1.2)
@@ -225,11 +225,11 @@
     """Timers stood still: the caller left long ago, and the replica works in vain."""
 
     async def scenario():
-        made = everywhere(script=answering(200, 60.0))
+        made = world_with_script(script=answering(200, 60.0))
         now = [steady_time()]
         made.runner._parts.clock = lambda: now[0]
         asking = asyncio.create_task(made.run(RequestKind.ONCE, timeout_s=30.0))
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         now[0] += 40.0
         # Also where it is on its way out by then.
         for _ in range(3):
--- a/reachlink/requests/tests/test_zones.py
+++ b/reachlink/requests/tests/test_zones.py
@@ -11,9 +11,9 @@
     BACKUP_ENGINE,
     BROKEN,
     answering,
-    everywhere,
     stream,
-    until,
+    wait_until,
+    world_with_script,
 )
 from reachlink.routing import RequestKind
 from reachlink.upstreams import MovedMemory, MoveResult
@@ -22,7 +22,7 @@
 
 
 def test_requests_go_to_zones_in_service_only():
-    made = everywhere("a a b", script=answering(200, b"whole"))
+    made = world_with_script("a a b", script=answering(200, b"whole"))
     made.directory.take_out_of_service({"a"}, 0.0)
     for _ in range(10):
         asyncio.run(made.run(RequestKind.REPEATABLE))
@@ -30,7 +30,7 @@
 
 
 def test_where_every_zone_is_out_of_service_callers_learn_it_at_once():
-    made = everywhere("a b", "m", script=answering(200, stream(1, 3)))
+    made = world_with_script("a b", "m", script=answering(200, stream(1, 3)))
     made.directory.take_out_of_service({"a", "b"}, 0.0)
 
     async def scenario():
@@ -47,12 +47,12 @@
 
 
 def test_what_runs_in_a_zone_that_is_taken_out_ends_there_and_is_not_copied_away():
-    made = everywhere("a b b", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
+    made = world_with_script("a b b", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
     made.adapter.move_result = MOVED
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM, output_tokens=150))
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         made.directory.take_out_of_service({made.zones[made.adapter.sent[0].replica]}, 0.0)
         return await running
 
@@ -62,15 +62,15 @@
 
 
 def test_a_copy_in_a_zone_that_is_taken_out_is_freed_and_one_elsewhere_made():
-    made = everywhere("a b c", "m", script=answering(200, stream(1, 3), 1.5, stream(4, 5)))
+    made = world_with_script("a b c", "m", script=answering(200, stream(1, 3), 1.5, stream(4, 5)))
     made.adapter.move_result = MOVED
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        await until(lambda: made.adapter.moves)
+        await wait_until(lambda: made.adapter.moves)
         _, target, _ = made.adapter.moves[0]
         made.directory.take_out_of_service({made.zones[target]}, 0.0)
-        await until(lambda: {t for _, t, _ in made.adapter.moves} - {target})
+        await wait_until(lambda: {t for _, t, _ in made.adapter.moves} - {target})
         running.cancel()
         return target
 
@@ -81,12 +81,12 @@
 
 def test_a_generation_does_not_go_on_in_a_zone_that_was_taken_out():
     """Its copy is there: going on would send a request to the zone."""
-    made = everywhere("a b", "m", script=answering(200, stream(1, 3), 0.3, BROKEN))
+    made = world_with_script("a b", "m", script=answering(200, stream(1, 3), 0.3, BROKEN))
     made.engine = BACKUP_ENGINE
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        await until(lambda: made.adapter.sent)
+        await wait_until(lambda: made.adapter.sent)
         made.directory.take_out_of_service({made.zones[made.adapter.sent[0].backup]}, 0.0)
         await asyncio.gather(running, return_exceptions=True)
 
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -67,7 +67,7 @@
 
 
 @dataclass
-class Dispatched:
+class SentRequest:
     """One request as it reached a replica."""
 
     replica: str
@@ -77,7 +77,7 @@
     backup: str
 
 
-class MemoryAnswer(RelayAnswer):
+class FakeAnswer(RelayAnswer):
     """An answer made of pieces; an exception among them breaks it there."""
 
     def __init__(self, head: AnswerHead, pieces: list[bytes | Exception | float]) -> None:
@@ -104,20 +104,20 @@
         self.closed = True
 
 
-Script = Callable[[Dispatched], Awaitable[MemoryAnswer]]
+Script = Callable[[SentRequest], Awaitable[FakeAnswer]]
 
 
 def answering(
     status: int = 200, *pieces: bytes | Exception | float, **head: object
-) -> Callable[[Dispatched], Awaitable[MemoryAnswer]]:
-    async def script(sent: Dispatched) -> MemoryAnswer:
-        return MemoryAnswer(AnswerHead(status, **head), list(pieces))  # type: ignore[arg-type]
+) -> Callable[[SentRequest], Awaitable[FakeAnswer]]:
+    async def script(sent: SentRequest) -> FakeAnswer:
+        return FakeAnswer(AnswerHead(status, **head), list(pieces))  # type: ignore[arg-type]
 
     return script
 
 
 def failing(error: Exception) -> Script:
-    async def script(sent: Dispatched) -> MemoryAnswer:
+    async def script(sent: SentRequest) -> FakeAnswer:
         raise error
 
     return script
@@ -129,11 +129,11 @@
 
 
 @dataclass
-class MemoryAdapter(RelayAdapter):
+class FakeAdapter(RelayAdapter):
     """Answers by a script a replica; one script a dispatch, the last one for ever."""
 
     scripts: dict[str, list[Script]] = field(default_factory=dict)
-    sent: list[Dispatched] = field(default_factory=list)
+    sent: list[SentRequest] = field(default_factory=list)
     moves: list[tuple[str, str, bool]] = field(default_factory=list)
     released: list[MovedMemory] = field(default_factory=list)
     touched: list[str] = field(default_factory=list)
@@ -154,7 +154,7 @@
         continuation: Continuation | None = None,
         backup: Replica | None = None,
     ) -> RelayAnswer:
-        sent = Dispatched(
+        sent = SentRequest(
             replica.name, request.request_id, left_s, continuation, backup.name if backup else ""
         )
         self.sent.append(sent)
@@ -189,7 +189,7 @@
 
 
 @dataclass
-class MemorySink:
+class FakeSink:
     """What a caller got."""
 
     head: AnswerHead | None = None
@@ -214,7 +214,7 @@
     """One entry instance with replicas `r1`, `r2`, ... in the zones given."""
 
     zones: dict[str, str]
-    adapter: MemoryAdapter = field(default_factory=MemoryAdapter)
+    adapter: FakeAdapter = field(default_factory=FakeAdapter)
     engine: EngineLimits = ENGINE
     outcomes: list[str] = field(default_factory=list)
 
@@ -276,29 +276,29 @@
         expected_tokens: int = 0,
         fingerprint: int = 0,
         **route: object,
-    ) -> MemorySink:
+    ) -> FakeSink:
         request = self.request(kind, output_tokens, expected_tokens)
         request.relay.fingerprint = fingerprint
         request.route = replace(request.route, **route)  # type: ignore[arg-type]
-        sink = MemorySink()
+        sink = FakeSink()
         await self.runner.run(request, sink)
         return sink
 
 
 def world(zones: str = "a a", prefix: str = "p", **scripts: list[Script]) -> World:
     names = {f"{prefix}{i}": zone for i, zone in enumerate(zones.split(), 1)}
-    adapter = MemoryAdapter({name: [OK] for name in names})
+    adapter = FakeAdapter({name: [OK] for name in names})
     adapter.scripts.update(scripts)
     return World(names, adapter)
 
 
-def everywhere(zones: str = "a a", prefix: str = "p", *, script: Script) -> World:
+def world_with_script(zones: str = "a a", prefix: str = "p", *, script: Script) -> World:
     made = world(zones, prefix)
     made.adapter.scripts = {name: [script] for name in made.zones}
     return made
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(5.0):
         while not condition():
             await asyncio.sleep(0.01)
