--- a/reachlink/scheduling/_grant_rate.py
+++ b/reachlink/scheduling/_grant_rate.py
@@ -13,7 +13,7 @@
 PRIOR_TOKENS = 4_000.0
 # Minimum time of waiting before a rate is known, in seconds: replicas that have all just
 # disappeared come back, and a queue without grants for a second is not stuck.
-KNOWN_AFTER_S = 2.0
+MIN_MEASURED_S = 2.0
 
 
 @dataclass(slots=True)
@@ -35,18 +35,18 @@
 
     _granted: float = 0.0
     _waiting_s: float = 0.0
-    _waits: bool = False
-    _noted_at: float = 0.0
+    _is_waiting: bool = False
+    _updated_at: float = 0.0
 
     def on_waiting(self, now: float) -> None:
         """Record that requests wait, at a monotonic time in seconds."""
-        self._pass(now)
-        self._waits = True
+        self._advance(now)
+        self._is_waiting = True
 
     def on_empty(self, now: float) -> None:
         """Record that no request waits any more, at a monotonic time in seconds."""
-        self._pass(now)
-        self._waits = False
+        self._advance(now)
+        self._is_waiting = False
 
     def on_granted(self, tokens: int) -> None:
         """Record a grant to a waiting request, in tokens."""
@@ -54,20 +54,20 @@
 
     def tokens_per_s(self, now: float) -> float:
         """Return the memory granted per second, in tokens; 0 if unknown."""
-        passed_s = now - self._noted_at
-        fade = 1.0 if self._waits else _fade(passed_s)
-        waiting_s = self._waiting_s * fade + (passed_s if self._waits else 0.0)
-        if waiting_s < KNOWN_AFTER_S:
+        elapsed_s = now - self._updated_at
+        decay = 1.0 if self._is_waiting else _decay(elapsed_s)
+        waiting_s = self._waiting_s * decay + (elapsed_s if self._is_waiting else 0.0)
+        if waiting_s < MIN_MEASURED_S:
             return 0.0
-        return (self._granted * fade + PRIOR_TOKENS) / waiting_s
+        return (self._granted * decay + PRIOR_TOKENS) / waiting_s
 
-    def _pass(self, now: float) -> None:
-        passed_s = now - self._noted_at
-        fade = _fade(passed_s)
-        self._granted *= fade
-        self._waiting_s = self._waiting_s * fade + (passed_s if self._waits else 0.0)
-        self._noted_at = now
+    def _advance(self, now: float) -> None:
+        elapsed_s = now - self._updated_at
+        decay = _decay(elapsed_s)
+        self._granted *= decay
+        self._waiting_s = self._waiting_s * decay + (elapsed_s if self._is_waiting else 0.0)
+        self._updated_at = now
 
 
-def _fade(passed_s: float) -> float:
-    return float(0.5 ** (passed_s / HALF_LIFE_S))
+def _decay(elapsed_s: float) -> float:
+    return float(0.5 ** (elapsed_s / HALF_LIFE_S))
--- a/reachlink/scheduling/_refusal.py
+++ b/reachlink/scheduling/_refusal.py
@@ -63,7 +63,7 @@
     place_reserved: bool = False
 
 
-def expected_wait_s(need: Need, line: QueueState) -> float:
+def expected_wait_s(need: Need, queue: QueueState) -> float:
     """Return the expected time until there is capacity for a request, in seconds; finite.
 
     A retry at its given time goes ahead of a new request, and behind earlier retries.
@@ -72,20 +72,20 @@
     ----------
     need : Need
         Resources and deadlines of the request.
-    line : QueueState
+    queue : QueueState
         State of the queue ahead of the request.
     """
-    if line.granted_tokens_per_s <= 0.0:
+    if queue.granted_tokens_per_s <= 0.0:
         return DEFAULT_WAIT_S
-    wait_s = (line.ahead_tokens + need.tokens) / line.granted_tokens_per_s
+    wait_s = (queue.ahead_tokens + need.tokens) / queue.granted_tokens_per_s
     if not need.is_announced_retry:
         # Retries take at most their reserved share of the capacity.
-        all_told_s = line.reserved_tokens / line.granted_tokens_per_s
-        wait_s = min(wait_s + all_told_s, wait_s / (1.0 - RESERVED_SHARE))
+        reserved_s = queue.reserved_tokens / queue.granted_tokens_per_s
+        wait_s = min(wait_s + reserved_s, wait_s / (1.0 - RESERVED_SHARE))
     return min(MAX_EXPECTED_WAIT_S, wait_s)
 
 
-def refusal_if_needed(need: Need, line: QueueState, random: Random) -> Refuse | None:
+def refusal_if_needed(need: Need, queue: QueueState, random: Random) -> Refuse | None:
     """Return the refusal of a request that finds no capacity, or None if it may wait.
 
     No request is refused while the grant rate is unknown. Requests of a workspace that has
@@ -96,30 +96,30 @@
     ----------
     need : Need
         Resources and deadlines of the request.
-    line : QueueState
+    queue : QueueState
         State of the queue ahead of the request.
     random : random.Random
         Source of the jitter on retry times.
     """
-    if line.granted_tokens_per_s <= 0.0:
+    if queue.granted_tokens_per_s <= 0.0:
         return None
-    wait_s = expected_wait_s(need, line)
+    wait_s = expected_wait_s(need, queue)
     if wait_s >= latest_start_s(need):
-        return make_refusal(need, line, RefusalReason.NO_ROOM, random)
-    crowded = wait_s >= OVERLOAD_SHARE * need.first_event_due_in_s
-    if line.over_share and crowded and not need.is_announced_retry:
-        return make_refusal(need, line, RefusalReason.OVER_SHARE, random)
+        return make_refusal(need, queue, RefusalReason.NO_ROOM, random)
+    overloaded = wait_s >= OVERLOAD_SHARE * need.first_event_due_in_s
+    if queue.over_share and overloaded and not need.is_announced_retry:
+        return make_refusal(need, queue, RefusalReason.OVER_SHARE, random)
     return None
 
 
-def make_refusal(need: Need, line: QueueState, reason: RefusalReason, random: Random) -> Refuse:
+def make_refusal(need: Need, queue: QueueState, reason: RefusalReason, random: Random) -> Refuse:
     """Return a refusal with its retry time.
 
     Parameters
     ----------
     need : Need
         Resources and deadlines of the request.
-    line : QueueState
+    queue : QueueState
         State of the queue ahead of the request.
     reason : RefusalReason
         Reason of the refusal.
@@ -127,22 +127,22 @@
         Source of the jitter on retry times.
     """
     max_s = max_retry_after_s(need)
-    place_s = _earliest_reservation_s(need, line) * (1.0 + JITTER_SHARE * random.random())
-    known = line.granted_tokens_per_s > 0.0
-    if place_s <= max_s:
-        return Refuse(max(MIN_RETRY_AFTER_S, place_s), reason, place_reserved=known)
+    reserved_s = _earliest_reservation_s(need, queue) * (1.0 + JITTER_SHARE * random.random())
+    known = queue.granted_tokens_per_s > 0.0
+    if reserved_s <= max_s:
+        return Refuse(max(MIN_RETRY_AFTER_S, reserved_s), reason, place_reserved=known)
     return Refuse(max(MIN_RETRY_AFTER_S, max_s * (1.0 - JITTER_SHARE * random.random())), reason)
 
 
-def _earliest_reservation_s(need: Need, line: QueueState) -> float:
+def _earliest_reservation_s(need: Need, queue: QueueState) -> float:
     """Return the time until capacity can be reserved for a retry, in seconds.
 
     It comes after the retries for which capacity is reserved already.
     """
-    if line.granted_tokens_per_s <= 0.0:
+    if queue.granted_tokens_per_s <= 0.0:
         return DEFAULT_WAIT_S
-    promised_s = (line.reserved_tokens + need.tokens) / (RESERVED_SHARE * line.granted_tokens_per_s)
-    return max(expected_wait_s(need, line), promised_s)
+    share_s = (queue.reserved_tokens + need.tokens) / (RESERVED_SHARE * queue.granted_tokens_per_s)
+    return max(expected_wait_s(need, queue), share_s)
 
 
 def max_retry_after_s(need: Need) -> float:
@@ -150,16 +150,16 @@
     return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, RESPECTED_SHARE * need.give_up_in_s))
 
 
-def is_over_share(workspace: str, asked: Mapping[str, float], room: float) -> bool:
+def is_over_share(workspace: str, demand: Mapping[str, float], capacity: float) -> bool:
     """Return whether a workspace demands more than its share of the capacity.
 
     Parameters
     ----------
     workspace : str
         Name of the workspace.
-    asked : mapping of str to float
+    demand : mapping of str to float
         Demand of each workspace, including what it has already.
-    room : float
+    capacity : float
         Capacity, in the same unit.
 
     Examples
@@ -169,19 +169,19 @@
     >>> is_over_share("other", {"large": 60.0, "small": 10.0, "other": 40.0}, 100.0)
     False
     """
-    return asked.get(workspace, 0.0) > fair_share(asked, room)
+    return demand.get(workspace, 0.0) > fair_share(demand, capacity)
 
 
-def fair_share(asked: Mapping[str, float], room: float) -> float:
+def fair_share(demand: Mapping[str, float], capacity: float) -> float:
     """Return the max-min fair share of each workspace.
 
     What a workspace leaves of its share goes to the others.
 
     Parameters
     ----------
-    asked : mapping of str to float
+    demand : mapping of str to float
         Demand of each workspace.
-    room : float
+    capacity : float
         Capacity, in the same unit.
 
     Returns
@@ -189,10 +189,10 @@
     float
         Maximum for each workspace; infinite if the capacity suffices for all.
     """
-    left, those_left = room, len(asked)
-    for wanted in sorted(asked.values()):
-        if wanted * those_left > left:
-            return left / those_left
-        left -= wanted
-        those_left -= 1
+    left, remaining = capacity, len(demand)
+    for demanded in sorted(demand.values()):
+        if demanded * remaining > left:
+            return left / remaining
+        left -= demanded
+        remaining -= 1
     return float("inf")
--- a/reachlink/scheduling/_request_queue.py
+++ b/reachlink/scheduling/_request_queue.py
@@ -1,6 +1,7 @@
 """Queue of the requests of one service that wait for capacity; free of I/O and clocks.
 
-Requests that find no capacity wait in one queue per service and zone. Its order:
+Requests that find no capacity wait in one queue per service and zone, or in one per service
+over all zones. Its order:
 
 1. *Requests that can still be in time, before those that can only be late.* Serving a late
    request while another one becomes late makes two late requests. Late requests get the
@@ -10,13 +11,14 @@
    starve the small ones; differences below the size of about one request are ignored.
 4. *The longest wait*, including refused attempts.
 
-Requests of lower priority get the share `YIELDED_SHARE` of the granted memory, whatever the
-demand of more urgent ones. It is a share and not aging: with aging, a backlog of old requests
-of low priority would go ahead of all others at once.
+Requests of lower priority get the share `LOW_PRIORITY_SHARE` of the granted memory, whatever
+the demand of more urgent ones. It is a share and not aging: with aging, a backlog of old
+requests of low priority would go ahead of all others at once.
 
-Smaller requests may overtake a request that does not fit for `PASSED_S`. After that, capacity
-is reserved for it, so that the largest requests do not starve because they fit less often; for
-`HELD_BACK_S` at most, since the capacity that it could use may never become free again.
+Smaller requests may overtake a request that does not fit for `MAX_OVERTAKEN_S`. After that,
+capacity is reserved for it, so that the largest requests do not starve because they fit less
+often; for `ROOM_RESERVED_S` at most, since the capacity that it could use may never become
+free again.
 
 The expected wait is computed from the memory granted recently to requests of the same class,
 since more urgent requests that arrive later go first. A request that would start too late is
@@ -40,18 +42,18 @@
 # Maximum number of waiting requests, some 400 B each.
 MAX_QUEUED = 512
 # Share of the granted memory that goes to less urgent requests while these wait.
-YIELDED_SHARE = 0.125
+LOW_PRIORITY_SHARE = 0.125
 # Time in which smaller requests may overtake a request, and the time after that in which
 # capacity is reserved for it, in seconds.
-PASSED_S = 0.4
-HELD_BACK_S = 1.0
+MAX_OVERTAKEN_S = 0.4
+ROOM_RESERVED_S = 1.0
 # Maximum number of classes whose grant rate is measured, some 200 B each.
-MAX_CLASSES = 64
+MAX_CLASS_RATES = 64
 # A request is expected to become late if its expected wait exceeds its remaining time by this
 # factor.
-SURELY = 1.5
+LATE_FACTOR = 1.5
 # Maximum age of the cached positions in the queue, in seconds.
-PLACES_KEPT_S = 0.1
+POSITIONS_MAX_AGE_S = 0.1
 
 _Class = tuple[bool, int]
 
@@ -72,7 +74,7 @@
         Monotonic time at which it joined the queue, in seconds.
     lease_until : float
         Monotonic time at which it is removed unless its instance queries again, in seconds.
-    passed_at : float, optional
+    overtaken_at : float, optional
         Monotonic time at which a smaller request first overtook it, in seconds.
     """
 
@@ -81,14 +83,14 @@
     need: Need
     joined_at: float
     lease_until: float
-    passed_at: float | None = None
-    _in_time_until: float = field(init=False)
-    _give_up_at: float = field(init=False)
+    overtaken_at: float | None = None
+    _latest_timely_start_at: float = field(init=False)
+    _latest_start_at: float = field(init=False)
 
     def __post_init__(self) -> None:
         need = self.need
-        self._in_time_until = self.joined_at + need.first_event_due_in_s - prefill_s(need)
-        self._give_up_at = self.joined_at + latest_start_s(need)
+        self._latest_timely_start_at = self.joined_at + need.first_event_due_in_s - prefill_s(need)
+        self._latest_start_at = self.joined_at + latest_start_s(need)
 
     @property
     def wait_started_at(self) -> float:
@@ -98,38 +100,41 @@
     @property
     def latest_start_at(self) -> float:
         """Latest monotonic time at which a start is of use to the caller, in seconds."""
-        return self._give_up_at
+        return self._latest_start_at
 
     @property
-    def in_time_until(self) -> float:
+    def latest_timely_start_at(self) -> float:
         """Latest monotonic time at which a start is in time, in seconds."""
-        return self._in_time_until
+        return self._latest_timely_start_at
 
     def need_at(self, now: float) -> Need:
         """Return its resources and deadlines as of a monotonic time in seconds."""
-        need, passed_s = self.need, now - self.joined_at
+        need, elapsed_s = self.need, now - self.joined_at
         return structs.replace(
             need,
-            first_event_due_in_s=need.first_event_due_in_s - passed_s,
-            give_up_in_s=need.give_up_in_s - passed_s,
-            waited_s=need.waited_s + passed_s,
+            first_event_due_in_s=need.first_event_due_in_s - elapsed_s,
+            give_up_in_s=need.give_up_in_s - elapsed_s,
+            waited_s=need.waited_s + elapsed_s,
         )
 
     def is_late(self, now: float) -> bool:
         """Return whether it can only be late, at a monotonic time in seconds."""
-        return now > self._in_time_until
+        return now > self._latest_timely_start_at
 
     def reserves_room(self, now: float) -> bool:
         """Return whether capacity is reserved for it, so that no smaller one may overtake it."""
-        if self.passed_at is None:
+        if self.overtaken_at is None:
             return False
-        passed_s = now - self.passed_at
-        return PASSED_S <= passed_s < PASSED_S + HELD_BACK_S
+        elapsed_s = now - self.overtaken_at
+        return MAX_OVERTAKEN_S <= elapsed_s < MAX_OVERTAKEN_S + ROOM_RESERVED_S
 
     def record_overtaken(self, now: float) -> None:
         """Record that a smaller request was granted capacity ahead of it."""
-        if self.passed_at is None or now - self.passed_at >= PASSED_S + HELD_BACK_S:
-            self.passed_at = now
+        if (
+            self.overtaken_at is None
+            or now - self.overtaken_at >= MAX_OVERTAKEN_S + ROOM_RESERVED_S
+        ):
+            self.overtaken_at = now
 
 
 class RequestQueue:
@@ -137,10 +142,10 @@
 
     Examples
     --------
-    >>> line = RequestQueue()
-    >>> _ = line.join("r1", "e1", Need(tokens=4000, priority=5), 0.0, 1.0)
-    >>> _ = line.join("r2", "e2", Need(tokens=4000, priority=1), 0.1, 1.0)
-    >>> [waiting.request_id for waiting in line.order(0.2)]
+    >>> queue = RequestQueue()
+    >>> _ = queue.join("r1", "e1", Need(tokens=4000, priority=5), 0.0, 1.0)
+    >>> _ = queue.join("r2", "e2", Need(tokens=4000, priority=1), 0.1, 1.0)
+    >>> [waiting.request_id for waiting in queue.order(0.2)]
     ['r2', 'r1']
     """
 
@@ -149,16 +154,16 @@
         self._waiting: dict[str, QueuedRequest] = {}
         self._shares = WorkspaceShares()
         self._rate = GrantRate()
-        # GrantRate rates by class: whether a request can only be late, and its priority.
+        # Grant rates by class: whether a request can only be late, and its priority.
         self._class_rates: dict[_Class, GrantRate] = {}
         # Memory still to be granted to less urgent requests, in tokens.
-        self._owed_tokens = 0.0
-        self._places: dict[str, tuple[int, int]] = {}
+        self._low_priority_tokens = 0.0
+        self._positions: dict[str, tuple[int, int]] = {}
         self._class_tokens: dict[_Class, int] = {}
         # Demand of each workspace in the queue, and the fair share of each, in tokens.
-        self._asked: dict[str, float] = {}
-        self._share = float("inf")
-        self._placed_at = float("-inf")
+        self._demand: dict[str, float] = {}
+        self._fair_share = float("inf")
+        self._positions_at = float("-inf")
 
     def __len__(self) -> int:
         return len(self._waiting)
@@ -203,10 +208,10 @@
     def leave(self, request_id: str, now: float) -> QueuedRequest | None:
         """Remove a request, and return it if it was in the queue."""
         waiting = self._waiting.pop(request_id, None)
-        self._places.pop(request_id, None)
+        self._positions.pop(request_id, None)
         if not self._waiting:
             self._rate.on_empty(now)
-            self._owed_tokens = 0.0
+            self._low_priority_tokens = 0.0
         return waiting
 
     def expire(self, now: float) -> list[QueuedRequest]:
@@ -216,7 +221,7 @@
             self.leave(waiting.request_id, now)
         if self._waiting:
             self._rate.on_waiting(now)
-        self._note_classes(now)
+        self._update_class_rates(now)
         return over
 
     def pause_grant_rates(self, now: float) -> None:
@@ -233,28 +238,28 @@
         """
         if len(self._waiting) <= self._max_waiting:
             return None
-        asked = self.asked_tokens(now)
+        demand = self.demand_tokens(now)
 
         def key(waiting: QueuedRequest) -> tuple[bool, int, float, float]:
             need = waiting.need
             return (
                 waiting.is_late(now),
                 need.priority,
-                asked[need.workspace],
+                demand[need.workspace],
                 waiting.wait_started_at,
             )
 
         return self.leave(max(self._waiting.values(), key=key).request_id, now)
 
-    def asked_tokens(self, now: float) -> dict[str, float]:
+    def demand_tokens(self, now: float) -> dict[str, float]:
         """Return recent grants plus waiting requests of each waiting workspace, in tokens."""
-        asked: dict[str, float] = {}
+        demand: dict[str, float] = {}
         for waiting in self._waiting.values():
             name = waiting.need.workspace
-            if name not in asked:
-                asked[name] = self._shares.tokens(name, now)
-            asked[name] += waiting.need.tokens
-        return asked
+            if name not in demand:
+                demand[name] = self._shares.tokens(name, now)
+            demand[name] += waiting.need.tokens
+        return demand
 
     def order(self, now: float) -> list[QueuedRequest]:
         """Return the requests in their order at a monotonic time in seconds."""
@@ -262,10 +267,10 @@
         if not found:
             return found
         urgent = found[0].need.priority
-        yielded = next((w for w in found if w.need.priority > urgent), None)
-        if yielded is not None and self._owed_tokens >= yielded.need.tokens:
-            found.remove(yielded)
-            found.insert(0, yielded)
+        low_priority = next((w for w in found if w.need.priority > urgent), None)
+        if low_priority is not None and self._low_priority_tokens >= low_priority.need.tokens:
+            found.remove(low_priority)
+            found.insert(0, low_priority)
         return found
 
     def head(self, now: float) -> QueuedRequest | None:
@@ -283,7 +288,7 @@
         if rate is not None:
             rate.on_granted(waiting.need.tokens)
         self._shares.add(waiting.need.workspace, waiting.need.tokens, now)
-        self._note_yielded(waiting)
+        self._update_low_priority_tokens(waiting)
         return self.leave(request_id, now)
 
     def record_immediate_start(self, need: Need, now: float) -> None:
@@ -292,85 +297,83 @@
 
     def state_ahead_of(self, waiting: QueuedRequest, now: float) -> QueueState:
         """Return the state of the queue ahead of a request."""
-        if now - self._placed_at > PLACES_KEPT_S:
-            self._note_places(now)
-        place = self._places.get(waiting.request_id)
-        if place is None:
-            place = self._place(waiting, now)
+        if now - self._positions_at > POSITIONS_MAX_AGE_S:
+            self._update_positions(now)
+        position = self._positions.get(waiting.request_id)
+        if position is None:
+            position = self._position(waiting, now)
             if waiting.request_id in self._waiting:
-                self._places[waiting.request_id] = place
-        over = self._asked.get(waiting.need.workspace, 0.0) > self._share
+                self._positions[waiting.request_id] = position
+        over = self._demand.get(waiting.need.workspace, 0.0) > self._fair_share
         rate = self._class_rate(_class_of(waiting, now), now)
-        state = QueueState(*place, rate, over_share=over)
-        in_s = expected_wait_s(waiting.need, state)
-        left_s = waiting.in_time_until - now
-        if waiting.is_late(now) or not state.granted_tokens_per_s or in_s <= SURELY * left_s:
+        state = QueueState(*position, rate, over_share=over)
+        wait_s = expected_wait_s(waiting.need, state)
+        left_s = waiting.latest_timely_start_at - now
+        if waiting.is_late(now) or not state.granted_tokens_per_s or wait_s <= LATE_FACTOR * left_s:
             return state
-        late = self._state_before_late(waiting, state, now)
-        late_in_s = expected_wait_s(waiting.need, late)
+        late = self._state_if_late(waiting, state, now)
+        late_wait_s = expected_wait_s(waiting.need, late)
         # Late requests never wait less; their grant rate may be unknown yet.
-        return late if late.granted_tokens_per_s and late_in_s > in_s else state
+        return late if late.granted_tokens_per_s and late_wait_s > wait_s else state
 
-    def _state_before_late(
-        self, waiting: QueuedRequest, state: QueueState, now: float
-    ) -> QueueState:
+    def _state_if_late(self, waiting: QueuedRequest, state: QueueState, now: float) -> QueueState:
         """Return the state ahead of a request that becomes late before it starts.
 
         Once it is late, it waits behind the requests that are late already and behind those
         ahead of it that become late, too.
         """
         late = (True, waiting.need.priority)
-        left_s = waiting.in_time_until - now
+        left_s = waiting.latest_timely_start_at - now
         rate = self._class_rate(late, now)
         behind = max(0.0, state.ahead_tokens - left_s * state.granted_tokens_per_s)
         tokens = self._class_tokens.get(late, 0) + behind + left_s * rate
         return QueueState(state.ahead, round(tokens), rate, over_share=state.over_share)
 
-    def _class_rate(self, its: _Class, now: float) -> float:
-        rate = self._class_rates.get(its)
+    def _class_rate(self, class_: _Class, now: float) -> float:
+        rate = self._class_rates.get(class_)
         return rate.tokens_per_s(now) if rate is not None else 0.0
 
-    def _note_classes(self, now: float) -> None:
+    def _update_class_rates(self, now: float) -> None:
         """Update the grant rate of each class by whether requests of it wait."""
         present = {_class_of(waiting, now) for waiting in self._waiting.values()}
-        for its in present - self._class_rates.keys():
-            if len(self._class_rates) >= MAX_CLASSES:
+        for class_ in present - self._class_rates.keys():
+            if len(self._class_rates) >= MAX_CLASS_RATES:
                 del self._class_rates[next(iter(self._class_rates))]
-            self._class_rates[its] = GrantRate()
-        for its, rate in self._class_rates.items():
-            if its in present:
+            self._class_rates[class_] = GrantRate()
+        for class_, rate in self._class_rates.items():
+            if class_ in present:
                 rate.on_waiting(now)
             else:
                 rate.on_empty(now)
 
-    def _note_places(self, now: float) -> None:
-        self._places.clear()
+    def _update_positions(self, now: float) -> None:
+        self._positions.clear()
         self._class_tokens.clear()
         for ahead, waiting in enumerate(self.order(now)):
-            its = _class_of(waiting, now)
-            tokens = self._class_tokens.get(its, 0)
-            self._places[waiting.request_id] = (ahead, tokens)
-            self._class_tokens[its] = tokens + waiting.need.tokens
-        self._asked = self.asked_tokens(now)
-        self._share = self._shares.share(self._asked, self.granted_tokens_per_s(now), now)
-        self._placed_at = now
-
-    def _place(self, waiting: QueuedRequest, now: float) -> tuple[int, int]:
+            class_ = _class_of(waiting, now)
+            tokens = self._class_tokens.get(class_, 0)
+            self._positions[waiting.request_id] = (ahead, tokens)
+            self._class_tokens[class_] = tokens + waiting.need.tokens
+        self._demand = self.demand_tokens(now)
+        self._fair_share = self._shares.share(self._demand, self.granted_tokens_per_s(now), now)
+        self._positions_at = now
+
+    def _position(self, waiting: QueuedRequest, now: float) -> tuple[int, int]:
         key = self._key(now)
         own = key(waiting)
-        its = _class_of(waiting, now)
+        class_ = _class_of(waiting, now)
         before = [w for w in self._waiting.values() if key(w) < own]
-        return len(before), sum(w.need.tokens for w in before if _class_of(w, now) == its)
+        return len(before), sum(w.need.tokens for w in before if _class_of(w, now) == class_)
 
-    def _note_yielded(self, granted: QueuedRequest) -> None:
+    def _update_low_priority_tokens(self, granted: QueuedRequest) -> None:
         """Update the memory still to be granted to less urgent requests after a grant."""
         others = [w.need for w in self._waiting.values() if w is not granted]
         if any(need.priority > granted.need.priority for need in others):
-            most = max(need.tokens for need in others) / YIELDED_SHARE
-            owed = self._owed_tokens + granted.need.tokens * YIELDED_SHARE
-            self._owed_tokens = min(owed, most)
+            most = max(need.tokens for need in others) / LOW_PRIORITY_SHARE
+            due = self._low_priority_tokens + granted.need.tokens * LOW_PRIORITY_SHARE
+            self._low_priority_tokens = min(due, most)
         elif any(need.priority < granted.need.priority for need in others):
-            self._owed_tokens = max(0.0, self._owed_tokens - granted.need.tokens)
+            self._low_priority_tokens = max(0.0, self._low_priority_tokens - granted.need.tokens)
 
     def _key(self, now: float) -> Callable[[QueuedRequest], tuple[bool, int, int, float, str]]:
         ranks: dict[str, int] = {}
--- a/reachlink/scheduling/_shares.py
+++ b/reachlink/scheduling/_shares.py
@@ -10,9 +10,9 @@
 HALF_LIFE_S = 15.0
 # Mean lifetime of a grant's weight, in seconds: with grants at a constant rate, the decayed
 # sum converges to the rate times this.
-COUNTED_S = HALF_LIFE_S / log(2.0)
+MEAN_LIFETIME_S = HALF_LIFE_S / log(2.0)
 # Grants of workspaces are compared in steps of about one request, in tokens.
-EQUAL_TOKENS = 4_000.0
+RANK_TOKENS = 4_000.0
 # Maximum number of workspaces in the table, some 100 B each; those with the smallest grants
 # are dropped first.
 MAX_WORKSPACES = 512
@@ -43,21 +43,21 @@
 
     def add(self, workspace: str, tokens: int, now: float) -> None:
         """Record a grant, in tokens, at a monotonic time in seconds."""
-        before = self.tokens(workspace, now)
+        previous = self.tokens(workspace, now)
         if workspace not in self._granted and len(self._granted) >= MAX_WORKSPACES:
             del self._granted[min(self._granted, key=lambda name: self.tokens(name, now))]
-        self._granted[workspace] = _Granted(before + tokens, now)
+        self._granted[workspace] = _Granted(previous + tokens, now)
 
     def rank(self, workspace: str, now: float) -> int:
-        """Return the recent grants of a workspace in steps of `EQUAL_TOKENS`; least goes first."""
-        return int(self.tokens(workspace, now) // EQUAL_TOKENS)
+        """Return the recent grants of a workspace in steps of `RANK_TOKENS`; least goes first."""
+        return int(self.tokens(workspace, now) // RANK_TOKENS)
 
-    def share(self, asked: Mapping[str, float], tokens_per_s: float, now: float) -> float:
+    def share(self, demand: Mapping[str, float], tokens_per_s: float, now: float) -> float:
         """Return the fair share of each workspace, in tokens; infinite if there is enough.
 
         Parameters
         ----------
-        asked : mapping of str to float
+        demand : mapping of str to float
             Recent grants and waiting requests of each workspace in the queue, in tokens.
         tokens_per_s : float
             Memory that becomes free per second, in tokens; 0 if unknown.
@@ -66,8 +66,8 @@
         """
         if tokens_per_s <= 0.0:
             return float("inf")
-        had = {name: self.tokens(name, now) for name in self._granted if name not in asked}
-        return fair_share({**had, **asked}, tokens_per_s * COUNTED_S)
+        had = {name: self.tokens(name, now) for name in self._granted if name not in demand}
+        return fair_share({**had, **demand}, tokens_per_s * MEAN_LIFETIME_S)
 
     def tokens(self, workspace: str, now: float) -> float:
         """Return the recent grants of a workspace, in tokens."""
--- a/reachlink/scheduling/_start.py
+++ b/reachlink/scheduling/_start.py
@@ -52,7 +52,7 @@
     options: Sequence[ReplicaOption],
     need: Need,
     random: Random,
-    line: QueueState = EMPTY_QUEUE,
+    queue: QueueState = EMPTY_QUEUE,
     rules: PlacementRules = REQUEST_RULES,
 ) -> Start:
     """Return where and when a request starts, or its refusal.
@@ -65,14 +65,14 @@
         Resources and deadlines of the request.
     random : random.Random
         Source of random numbers for drawing and for breaking ties.
-    line : QueueState
+    queue : QueueState
         State of the queue ahead of the request.
     rules : PlacementRules
         Rules by which the memory of engines is given.
     """
     name = choose_replica(options, need.tokens, random, rules, need)
-    if name is not None and not line.ahead:
+    if name is not None and not queue.ahead:
         return Begin(name)
     # While a replica has capacity, waiting requests start soon, this one among them.
-    refused = refusal_if_needed(need, line, random) if name is None else None
-    return refused or Wait(expected_wait_s(need, line), line.ahead)
+    refused = refusal_if_needed(need, queue, random) if name is None else None
+    return refused or Wait(expected_wait_s(need, queue), queue.ahead)
--- a/reachlink/scheduling/tests/test_line.py
+++ b/reachlink/scheduling/tests/test_line.py
@@ -6,7 +6,12 @@
 import pytest
 
 from reachlink.scheduling import Need, Refuse, RequestQueue, Wait, best_start, expected_wait_s
-from reachlink.scheduling._request_queue import HELD_BACK_S, MAX_CLASSES, PASSED_S, YIELDED_SHARE
+from reachlink.scheduling._request_queue import (
+    LOW_PRIORITY_SHARE,
+    MAX_CLASS_RATES,
+    MAX_OVERTAKEN_S,
+    ROOM_RESERVED_S,
+)
 from reachlink.scheduling._shares import MAX_WORKSPACES, WorkspaceShares
 
 LEASE_S = 10.0
@@ -104,7 +109,7 @@
         line.grant(head.request_id, now)
         granted[head.need.priority] += head.need.tokens
     part = granted[5] / sum(granted.values())
-    assert part == pytest.approx(YIELDED_SHARE, abs=0.03)
+    assert part == pytest.approx(LOW_PRIORITY_SHARE, abs=0.03)
 
 
 def test_what_the_less_urgent_are_owed_is_not_kept_while_none_waits():
@@ -124,13 +129,13 @@
     assert not waiting.reserves_room(0.1)
     waiting.record_overtaken(0.1)
     waiting.record_overtaken(0.3)
-    assert not waiting.reserves_room(0.1 + 0.9 * PASSED_S)
-    assert waiting.reserves_room(0.1 + PASSED_S)
-    over_at = 0.1 + PASSED_S + HELD_BACK_S
+    assert not waiting.reserves_room(0.1 + 0.9 * MAX_OVERTAKEN_S)
+    assert waiting.reserves_room(0.1 + MAX_OVERTAKEN_S)
+    over_at = 0.1 + MAX_OVERTAKEN_S + ROOM_RESERVED_S
     assert not waiting.reserves_room(over_at)
     waiting.record_overtaken(over_at)
     assert not waiting.reserves_room(over_at)
-    assert waiting.reserves_room(over_at + 1.01 * PASSED_S)
+    assert waiting.reserves_room(over_at + 1.01 * MAX_OVERTAKEN_S)
 
 
 def test_who_is_not_asked_for_any_more_stands_in_line_no_longer():
@@ -320,10 +325,10 @@
 
 def test_a_bounded_number_of_urgencies_is_measured():
     line = RequestQueue()
-    for number in range(3 * MAX_CLASSES):
+    for number in range(3 * MAX_CLASS_RATES):
         join(line, f"id-{number}", 0.0, priority=number)
     line.expire(0.1)
-    assert len(line._class_rates) == MAX_CLASSES
+    assert len(line._class_rates) == MAX_CLASS_RATES
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
