--- a/reachlink/limits/__init__.py
+++ b/reachlink/limits/__init__.py
@@ -1,17 +1,17 @@
 """Quotas of workspaces, fair queueing, and budgets for memory, bytes in flight and retries."""
 
-from reachlink.limits._drain_rate import DrainRate
-from reachlink.limits._fair_queue import FairQueue, FairQueueEntry
-from reachlink.limits._held_bytes import (
+from reachlink.limits._buffer_budget import (
     SHORT_BYTES,
     UNDECLARED_BYTES,
     BufferBudget,
     BufferKind,
     CallerBuffer,
 )
+from reachlink.limits._bytes_in_flight import BytesInFlight
+from reachlink.limits._drain_rate import DrainRate
+from reachlink.limits._fair_queue import FairQueue, FairQueueEntry
 from reachlink.limits._quotas import QuotaLimits, QuotaTracker, Refusal, RefusalReason, fair_share
 from reachlink.limits._retries import RetryBudget, backoff_s
-from reachlink.limits._sent_bytes import BytesInFlight
 
 __all__ = [
     "SHORT_BYTES",
--- a/reachlink/limits/_sent_bytes.py
+++ b/reachlink/limits/_bytes_in_flight.py
@@ -6,7 +6,7 @@
 similar, and exceeds it if some instances send more than their share of long bodies at once.
 """
 
-from reachlink.limits._held_bytes import SHORT_BYTES
+from reachlink.limits._buffer_budget import SHORT_BYTES
 
 # Assumed capacity of a replica for requests from all instances, in bytes.
 REPLICA_BYTES = 64 << 20
--- a/reachlink/pacing/__init__.py
+++ b/reachlink/pacing/__init__.py
@@ -1,11 +1,11 @@
 """Flow control that replicas request from their senders: backoffs and rate limits."""
 
 from reachlink.pacing._backoffs import BackoffTracker
-from reachlink.pacing._book import Hold, HoldReason, PacingKind, PacingTracker
 from reachlink.pacing._gate import LimitGate, LocalGate, PermitOptions
 from reachlink.pacing._limits import AdvertisedLimit, LimitTracker, parse_limit
 from reachlink.pacing._messages import CHANNEL_LIMIT, LimitUpdate, PermitQuery, PermitReply
-from reachlink.pacing._meter import RateLimiter
+from reachlink.pacing._pacing_tracker import Hold, HoldReason, PacingKind, PacingTracker
+from reachlink.pacing._rate_limiter import RateLimiter
 from reachlink.pacing._refusals import RefusalTracker
 from reachlink.pacing._sharing import (
     PEER_SILENCE_TIMEOUT_S,
--- a/reachlink/pacing/_gate.py
+++ b/reachlink/pacing/_gate.py
@@ -5,7 +5,7 @@
 from typing import Protocol
 
 from reachlink.pacing._limits import AdvertisedLimit
-from reachlink.pacing._meter import RateLimiter
+from reachlink.pacing._rate_limiter import RateLimiter
 
 
 @dataclass(slots=True, frozen=True)
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -16,7 +16,7 @@
 from typing import TypeVar
 
 from reachlink.pacing._messages import PermitQuery
-from reachlink.pacing._meter import RateLimiter
+from reachlink.pacing._rate_limiter import RateLimiter
 
 _Key = TypeVar("_Key")
 
--- a/reachlink/routing/__init__.py
+++ b/reachlink/routing/__init__.py
@@ -1,5 +1,6 @@
 """Routing tables: routes from hosts and path prefixes to services, limits, callers' keys."""
 
+from reachlink.routing._allowed_regions import allowed_regions
 from reachlink.routing._formats import (
     NATIVE_FORMAT,
     TABLE_FORMATS,
@@ -9,7 +10,6 @@
     TableReader,
     decode_or_raise,
 )
-from reachlink.routing._homes import allowed_regions
 from reachlink.routing._index import RoutingIndex
 from reachlink.routing._patch import TablePatch, apply_patches, patch_between
 from reachlink.routing._table import (
