--- a/reachlink/coordination/__init__.py
+++ b/reachlink/coordination/__init__.py
@@ -10,38 +10,38 @@
 from typing import Any
 
 from reachlink.coordination._attachment import Attachment
+from reachlink.coordination._caller_retry_ledger import CallerRetryLedger
 from reachlink.coordination._coordinator import Coordinator
 from reachlink.coordination._limit_exchange import LimitExchange
-from reachlink.coordination._line_asker import LineAsker
-from reachlink.coordination._line_exchange import LineExchange
 from reachlink.coordination._member import Member
 from reachlink.coordination._messages import MemberNote, Picture
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
+from reachlink.coordination._queue_client import QueueClient
+from reachlink.coordination._queue_owner import QueueOwner
 from reachlink.coordination._replica_list import as_instances, as_listed, digest_of, listed_replicas
-from reachlink.coordination._return_ledger import ReturnLedger
 
 
 def __getattr__(name: str) -> Any:
     """Return what is known by its new name."""
     if name != "ReturnDesk":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    warnings.warn("ReturnDesk is now ReturnLedger", DeprecationWarning, stacklevel=2)
-    return ReturnLedger
+    warnings.warn("ReturnDesk is now CallerRetryLedger", DeprecationWarning, stacklevel=2)
+    return CallerRetryLedger
 
 
 __all__ = [
     "Attachment",
     "Coordinator",
     "LimitExchange",
-    "LineAsker",
-    "LineExchange",
+    "QueueClient",
+    "QueueOwner",
     "Member",
     "MemberNote",
     "Picture",
     "PaceExchange",
     "QuarantineExchange",
-    "ReturnLedger",
+    "CallerRetryLedger",
     "as_instances",
     "as_listed",
     "digest_of",
--- a/reachlink/coordination/_return_ledger.py
+++ b/reachlink/coordination/_caller_retry_ledger.py
@@ -21,7 +21,7 @@
 MAX_LOG_LINES_PER_S = 20
 
 
-class ReturnLedger:
+class CallerRetryLedger:
     """Keeps the promises of a line to those whom it refuses.
 
     Parameters
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -6,17 +6,17 @@
 from typing import Any, Protocol
 
 from reachlink.coordination._limit_exchange import LimitExchange
-from reachlink.coordination._line_exchange import LineExchange
 from reachlink.coordination._messages import (
-    CHANNEL_LEFT,
     CHANNEL_MEMBER,
     CHANNEL_PLACE,
-    LineLeft,
+    CHANNEL_QUEUE_LEFT,
     MemberNote,
     Picture,
+    QueueLeft,
 )
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
+from reachlink.coordination._queue_owner import QueueOwner
 from reachlink.coordination._replica_list import digest_of, listed_replicas
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
@@ -92,7 +92,7 @@
         Source of jitter.
     clock : callable
         Monotonic time in seconds.
-    line : LineExchange, optional
+    queue_owner : QueueOwner, optional
         Keeps requests in line that find no room; None where none stands in line.
     """
 
@@ -112,10 +112,10 @@
         reach: Callable[[], ZoneReach],
         random: Random,
         clock: Callable[[], float] = steady_time,
-        line: LineExchange | None = None,
+        queue_owner: QueueOwner | None = None,
     ) -> None:
         self._name = name
-        self._line = line
+        self._queue_owner = queue_owner
         self._book = book
         self._shared = shared
         self._directory = directory
@@ -135,7 +135,7 @@
         self._log: Any = get_logger()
         bus.handle(CHANNEL_MEMBER, self._on_note)
         bus.handle(CHANNEL_PLACE, self._on_question)
-        bus.handle(CHANNEL_LEFT, self._on_left)
+        bus.handle(CHANNEL_QUEUE_LEFT, self._on_left)
 
     def take_role(self, coordinates: bool) -> None:
         """Take whether this instance coordinates from now on."""
@@ -175,8 +175,8 @@
         """Give members that wait for news a picture now: a replica leaves, a zone is cut off."""
         self._news_event.set()
         self._news_event = asyncio.Event()
-        if self._line is not None:
-            self._line.wake()
+        if self._queue_owner is not None:
+            self._queue_owner.wake()
 
     async def _on_note(self, sender: str, body: bytes) -> bytes:
         note = decode(body, MemberNote)
@@ -213,8 +213,8 @@
         self._paces.take_from_member(name, note.load.paces)
         for outcome in note.outcomes:
             self._book.note_outcome(outcome, now, self._random)
-        if self._line is not None:
-            self._line.wake()
+        if self._queue_owner is not None:
+            self._queue_owner.wake()
 
     async def _on_question(self, sender: str, body: bytes) -> bytes:
         question = decode(body, PlaceQuestion)
@@ -222,14 +222,14 @@
         insists = question.insist and self._directory.is_whole
         if not self.settled and not insists:
             return encode(PlaceAnswer(settled=False))
-        if self._line is not None and self.settled and question.in_line:
-            return encode(await self._line.answer(question))
+        if self._queue_owner is not None and self.settled and question.in_line:
+            return encode(await self._queue_owner.answer(question))
         return encode(PlaceAnswer(settled=True, replica=self._decide(question)))
 
     async def _on_left(self, sender: str, body: bytes) -> bytes:
-        left = decode(body, LineLeft)
-        if self._line is not None:
-            self._line.leave(left.service, left.request_id)
+        left = decode(body, QueueLeft)
+        if self._queue_owner is not None:
+            self._queue_owner.leave(left.service, left.request_id)
         return b""
 
     def _decide(self, question: PlaceQuestion) -> ListedReplica | None:
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -9,10 +9,10 @@
 from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
 from reachlink.coordination._attachment import Attachment
 from reachlink.coordination._limit_exchange import LimitExchange
-from reachlink.coordination._line_asker import LineAsker
 from reachlink.coordination._messages import CHANNEL_MEMBER, CHANNEL_PLACE, MemberNote, Picture
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
+from reachlink.coordination._queue_client import QueueClient
 from reachlink.coordination._replica_list import as_instances
 from reachlink.kernel import steady_time
 from reachlink.membership import InstanceRecord, ReplicaDirectory
@@ -111,7 +111,7 @@
         self._paces = paces
         self._count = count
         self._clock = clock
-        self._line: LineAsker | None = None
+        self._queue_client: QueueClient | None = None
         self._picture: Picture | None = None
         self._picture_at = float("-inf")
         self._has_list = False
@@ -136,9 +136,9 @@
         """Whether a coordinator keeps the list of replicas up to date here."""
         return self._has_list and self.picture is not None
 
-    def stand_in_line(self, line: LineAsker) -> None:
+    def use_queue(self, queue_client: QueueClient) -> None:
         """Have requests stand in line that find no room, from now on."""
-        self._line = line
+        self._queue_client = queue_client
 
     def take_roster(self, coordinators: Iterable[InstanceRecord]) -> None:
         """Take the coordinators that there are, and close connections to those that were."""
@@ -156,8 +156,8 @@
 
         One that has just started knows little: it decides only where no other does.
         """
-        if self._line is not None and question.in_line:
-            return await self._line.ask(structs.replace(question, instance=self._name))
+        if self._queue_client is not None and question.in_line:
+            return await self._queue_client.ask(structs.replace(question, instance=self._name))
         if not self._attachment.is_member:
             return None
         answer = await self._ask_coordinators(structs.replace(question, instance=self._name))
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -15,11 +15,11 @@
 """One-way: a `MemberNote`. Call: the same, answered with a `Picture`."""
 CHANNEL_PLACE = "place"
 """Call: a `PlaceQuestion`, answered with a `PlaceAnswer`."""
-CHANNEL_LEFT = "left"
-"""One-way: a `LineLeft`."""
+CHANNEL_QUEUE_LEFT = "left"
+"""One-way: a `QueueLeft`."""
 
 
-class LineLeft(msgspec.Struct, array_like=True, frozen=True):
+class QueueLeft(msgspec.Struct, array_like=True, frozen=True):
     """A request that stands in line no more: its caller is gone.
 
     Attributes
--- a/reachlink/coordination/_line_asker.py
+++ b/reachlink/coordination/_queue_client.py
@@ -8,8 +8,8 @@
 
 from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
 from reachlink.coordination._attachment import Attachment
-from reachlink.coordination._line_exchange import LineExchange
-from reachlink.coordination._messages import CHANNEL_LEFT, CHANNEL_PLACE, LineLeft
+from reachlink.coordination._messages import CHANNEL_PLACE, CHANNEL_QUEUE_LEFT, QueueLeft
+from reachlink.coordination._queue_owner import QueueOwner
 from reachlink.kernel import steady_time
 from reachlink.membership import InstanceRecord
 from reachlink.messaging import Bus, CallTimeoutError, MessagingError, decode, encode
@@ -25,7 +25,7 @@
     """Another question has shown that the owner is lost."""
 
 
-class LineAsker:
+class QueueClient:
     """Has this instance's requests stand in line.
 
     Parameters
@@ -36,7 +36,7 @@
         This instance.
     bus : Bus
         Speaks with owners.
-    own : LineExchange
+    own : QueueOwner
         Keeps the lines that this instance owns, and those of one that is alone.
     settled : callable
         Returns whether this instance coordinates and has listened for long enough.
@@ -55,7 +55,7 @@
         attachment: Attachment,
         name: str,
         bus: Bus,
-        own: LineExchange,
+        own: QueueOwner,
         settled: Callable[[], bool],
         count: Callable[[str], None],
         silent_zones: Callable[[], Set[str]] | None = None,
@@ -137,8 +137,8 @@
 
     def _send_left(self, owner: InstanceRecord, question: PlaceQuestion) -> None:
         """Tell an owner that no answer is waited for any more: a place would stay empty."""
-        left = LineLeft(question.service, question.request_id)
-        self._bus.send(owner.address, CHANNEL_LEFT, encode(left))
+        left = QueueLeft(question.service, question.request_id)
+        self._bus.send(owner.address, CHANNEL_QUEUE_LEFT, encode(left))
 
     async def _call(self, owner: InstanceRecord, question: PlaceQuestion) -> bytes:
         hold_s = question.hold_s or 0.0
--- a/reachlink/coordination/_line_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -5,9 +5,9 @@
 
 from msgspec import structs
 
-from reachlink.coordination._kept_line import HeldQuestion, KeptLine
-from reachlink.coordination._line_outcomes import LineOutcomes
+from reachlink.coordination._queue_outcomes import QueueOutcomes
 from reachlink.coordination._recent_grants import RecentGrants
+from reachlink.coordination._service_queue import HeldQuestion, ServiceQueue
 from reachlink.coordination._unfit_cache import constraints_of
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
@@ -30,7 +30,7 @@
 _Candidate = tuple[QueuedRequest, HeldQuestion]
 
 
-class LineGrants:
+class QueueGrants:
     """Grants what room there is.
 
     Parameters
@@ -45,7 +45,7 @@
         Where it is noted what was granted.
     directory : ReplicaDirectory
         The replicas.
-    outcomes : LineOutcomes
+    outcomes : QueueOutcomes
         Where it is noted who was granted a place.
     clock : callable
         Monotonic time in seconds.
@@ -60,7 +60,7 @@
         book: ReplicaBook,
         shared: SharedLoad,
         directory: ReplicaDirectory,
-        outcomes: LineOutcomes,
+        outcomes: QueueOutcomes,
         clock: Callable[[], float],
         random: Random,
     ) -> None:
@@ -75,7 +75,7 @@
         self._clock = clock
 
     def start_immediately(
-        self, queue: KeptLine, service: Service, question: PlaceQuestion, need: Need
+        self, queue: ServiceQueue, service: Service, question: PlaceQuestion, need: Need
     ) -> PlaceAnswer | None:
         """Return the answer to a request that finds nobody in line, and room."""
         if len(queue.requests):
@@ -90,7 +90,7 @@
         )
         return PlaceAnswer(settled=True, replica=replica)
 
-    def grant_in_order(self, queue: KeptLine, service: Service, now: float) -> None:
+    def grant_in_order(self, queue: ServiceQueue, service: Service, now: float) -> None:
         """Grant what room there is to those who wait."""
         queue.unfit.clear(now)
         for _ in range(MAX_GRANTS_PER_SCAN):
@@ -98,7 +98,7 @@
                 return
 
     def has_room(
-        self, queue: KeptLine, service: Service, question: PlaceQuestion, now: float
+        self, queue: ServiceQueue, service: Service, question: PlaceQuestion, now: float
     ) -> bool:
         """Return whether a place is free for a request, though others go first."""
         queue.unfit.drop_expired(now)
@@ -109,7 +109,7 @@
         queue.unfit.add(question)
         return False
 
-    def _grant_next(self, queue: KeptLine, service: Service, now: float) -> bool:
+    def _grant_next(self, queue: ServiceQueue, service: Service, now: float) -> bool:
         """Grant a place to the first for whom there is one; return whether there was."""
         candidates = [
             (waiting, held)
@@ -155,7 +155,7 @@
 
     def _grant(
         self,
-        queue: KeptLine,
+        queue: ServiceQueue,
         service: Service,
         waiting: QueuedRequest,
         held: HeldQuestion,
@@ -176,7 +176,7 @@
 
     def record_grant(
         self,
-        queue: KeptLine,
+        queue: ServiceQueue,
         waiting: QueuedRequest,
         question: PlaceQuestion,
         name: str,
--- a/reachlink/coordination/_line_outcomes.py
+++ b/reachlink/coordination/_queue_outcomes.py
@@ -7,8 +7,8 @@
 
 from msgspec import structs
 
-from reachlink.coordination._kept_line import KeptLine
-from reachlink.coordination._return_ledger import ReturnLedger
+from reachlink.coordination._caller_retry_ledger import CallerRetryLedger
+from reachlink.coordination._service_queue import ServiceQueue
 from reachlink.requests import PlaceAnswer, PlaceQuestion
 from reachlink.scheduling import (
     Begin,
@@ -23,7 +23,7 @@
 from reachlink.telemetry import get_logger
 
 
-class LineOutcomes:
+class QueueOutcomes:
     """Notes who arrives, who gets a place, who is refused and who leaves.
 
     Parameters
@@ -40,14 +40,14 @@
     def __init__(
         self, count: Callable[[str, str], None], clock: Callable[[], float], random: Random
     ) -> None:
-        self._ledger = ReturnLedger(clock)
+        self._ledger = CallerRetryLedger(clock)
         self._count = count
         self._clock = clock
         self._random = random
         self._log: Any = get_logger()
 
     @property
-    def returns(self) -> CallerRetryCounts:
+    def caller_retry_counts(self) -> CallerRetryCounts:
         """What became of those who were refused here."""
         return self._ledger.book.counts
 
@@ -56,7 +56,7 @@
         return self._ledger.book.reserved_tokens(service, now)
 
     def record_arrival(
-        self, queue: KeptLine, question: PlaceQuestion
+        self, queue: ServiceQueue, question: PlaceQuestion
     ) -> tuple[PlaceQuestion, Need]:
         """Note the first question about a request; return it and its need, as was promised."""
         need, promise = self._ledger.on_arrival(question)
@@ -65,7 +65,12 @@
         return question, need
 
     def record_decision(
-        self, queue: KeptLine, request_id: str, need: Need, start: Begin | Refuse, line: QueueState
+        self,
+        queue: ServiceQueue,
+        request_id: str,
+        need: Need,
+        start: Begin | Refuse,
+        line: QueueState,
     ) -> Refuse | None:
         """Note what became of a request; return what it is told that is refused."""
         arrived = queue.arrivals.pop(request_id, None)
@@ -76,7 +81,7 @@
         return told if isinstance(told, Refuse) else None
 
     def refuse(
-        self, queue: KeptLine, waiting: QueuedRequest, reason: RefusalReason, now: float
+        self, queue: ServiceQueue, waiting: QueuedRequest, reason: RefusalReason, now: float
     ) -> PlaceAnswer:
         """Return the answer to a request that goes, and note why."""
         state = queue.requests.state_ahead_of(waiting, now)
@@ -88,7 +93,7 @@
         self.record_left(queue, waiting, reason.value)
         return PlaceAnswer(settled=True, otherwise=told)
 
-    def record_joined(self, queue: KeptLine, waiting: QueuedRequest, now: float) -> None:
+    def record_joined(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> None:
         """Note that a request stands in line from now on."""
         state = queue.requests.state_ahead_of(waiting, now)
         self._log.info(
@@ -105,7 +110,12 @@
         )
 
     def record_granted(
-        self, queue: KeptLine, waiting: QueuedRequest, replica: str, state: QueueState, now: float
+        self,
+        queue: ServiceQueue,
+        waiting: QueuedRequest,
+        replica: str,
+        state: QueueState,
+        now: float,
     ) -> None:
         """Note that a waiting request gets a place at a replica."""
         self.record_decision(queue, waiting.request_id, waiting.need, Begin(replica), state)
@@ -122,7 +132,7 @@
             priority=waiting.need.priority,
         )
 
-    def record_left(self, queue: KeptLine, waiting: QueuedRequest, reason: str) -> None:
+    def record_left(self, queue: ServiceQueue, waiting: QueuedRequest, reason: str) -> None:
         """Note that a request is in line no more, and why."""
         _, promise = queue.arrivals.pop(waiting.request_id, (None, None))
         if reason == "lease" and promise is not None:
--- a/reachlink/coordination/_line_exchange.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -12,9 +12,9 @@
 
 from msgspec import structs
 
-from reachlink.coordination._kept_line import HeldQuestion, KeptLine
-from reachlink.coordination._line_grants import LineGrants
-from reachlink.coordination._line_outcomes import LineOutcomes
+from reachlink.coordination._queue_grants import QueueGrants
+from reachlink.coordination._queue_outcomes import QueueOutcomes
+from reachlink.coordination._service_queue import HeldQuestion, ServiceQueue
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
@@ -50,7 +50,7 @@
 HOPELESS_WAIT_FACTOR = 3.0
 
 
-class LineExchange:
+class QueueOwner:
     """Keeps the lines that this instance owns.
 
     Parameters
@@ -96,28 +96,28 @@
         self._services = services
         self._clock = clock
         random = random or Random()
-        self._outcomes = LineOutcomes(count, clock, random)
-        self._grants = LineGrants(
+        self._outcomes = QueueOutcomes(count, clock, random)
+        self._grants = QueueGrants(
             name, placing, book, shared, directory, self._outcomes, clock, random
         )
-        self._queues: dict[str, KeptLine] = {}
+        self._queues: dict[str, ServiceQueue] = {}
         self._changed = asyncio.Event()
         self._scan_task: asyncio.Task[None] | None = None
         book.listen(self.wake)
         self._log: Any = get_logger()
 
     @property
-    def returns(self) -> CallerRetryCounts:
+    def caller_retry_counts(self) -> CallerRetryCounts:
         """What became of those who were refused here."""
-        return self._outcomes.returns
+        return self._outcomes.caller_retry_counts
 
     @property
-    def waiting(self) -> dict[str, int]:
+    def waiting_counts(self) -> dict[str, int]:
         """How many requests stand in line, by service."""
         return {name: len(queue.requests) for name, queue in self._queues.items()}
 
     @property
-    def oldest_s(self) -> dict[str, float]:
+    def oldest_wait_s(self) -> dict[str, float]:
         """How long the oldest of them has stood there, in seconds, by service."""
         now = self._clock()
         return {name: queue.requests.oldest_s(now) for name, queue in self._queues.items()}
@@ -139,7 +139,7 @@
         need = question.need
         if service is None or need is None or not _fits_empty_replica(service, need):
             return PlaceAnswer(settled=True)
-        queue = self._queues.setdefault(service.name, KeptLine(service.name))
+        queue = self._queues.setdefault(service.name, ServiceQueue(service.name))
         if queue.requests.find(question.request_id) is None:
             question, need = self._outcomes.record_arrival(queue, question)
         begun = self._grants.start_immediately(queue, service, question, need)
@@ -170,7 +170,7 @@
         return next((s for s in self._services() if s.name == name), None)
 
     async def _enqueue(
-        self, queue: KeptLine, service: Service, question: PlaceQuestion, need: Need
+        self, queue: ServiceQueue, service: Service, question: PlaceQuestion, need: Need
     ) -> PlaceAnswer:
         now = self._clock()
         hold_s = min(question.hold_s or 0.0, MAX_HOLD_S)
@@ -198,7 +198,7 @@
 
     def _forecast(
         self,
-        queue: KeptLine,
+        queue: ServiceQueue,
         service: Service,
         question: PlaceQuestion,
         waiting: QueuedRequest,
@@ -215,7 +215,7 @@
             return Wait(expected_wait_s(waiting.need, state), state.ahead)
         return start
 
-    def _is_hopeless(self, queue: KeptLine, waiting: QueuedRequest, now: float) -> bool:
+    def _is_hopeless(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> bool:
         """Return whether one that stands in line already will wait far beyond its time."""
         state = queue.requests.state_ahead_of(waiting, now)
         return expected_wait_s(waiting.need, state) >= HOPELESS_WAIT_FACTOR * (
@@ -223,7 +223,7 @@
         )
 
     async def _hold(
-        self, queue: KeptLine, question: PlaceQuestion, waiting: QueuedRequest, hold_s: float
+        self, queue: ServiceQueue, question: PlaceQuestion, waiting: QueuedRequest, hold_s: float
     ) -> PlaceAnswer:
         """Return the answer once there is one, or that it waits yet."""
         # A question that its asker has given up is answered first.
@@ -240,12 +240,12 @@
             future.result() if future.done() else self._wait_answer(queue, waiting, self._clock())
         )
 
-    def _wait_answer(self, queue: KeptLine, waiting: QueuedRequest, now: float) -> PlaceAnswer:
+    def _wait_answer(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> PlaceAnswer:
         state = queue.requests.state_ahead_of(waiting, now)
         in_s = expected_wait_s(waiting.need, state)
         return PlaceAnswer(settled=True, otherwise=Wait(in_s, state.ahead))
 
-    def _shed_excess(self, queue: KeptLine, now: float) -> None:
+    def _shed_excess(self, queue: ServiceQueue, now: float) -> None:
         while (shed := queue.requests.shed(now)) is not None:
             answer = self._outcomes.refuse(queue, shed, RefusalReason.LINE_FULL, now)
             queue.answer(shed.request_id, answer)
@@ -276,7 +276,7 @@
                 # Room that nobody tells of: others' notes, replicas that have come.
                 continue
 
-    def _scan(self, queue: KeptLine) -> None:
+    def _scan(self, queue: ServiceQueue) -> None:
         """Grant what room there is, in order."""
         now = self._clock()
         self._drop_expired(queue, now)
@@ -286,7 +286,7 @@
             return
         self._grants.grant_in_order(queue, service, now)
 
-    def _drop_expired(self, queue: KeptLine, now: float) -> None:
+    def _drop_expired(self, queue: ServiceQueue, now: float) -> None:
         for waiting in queue.requests.expire(now):
             if waiting.request_id in queue.held_queries and now >= waiting.latest_start_at:
                 answer = self._outcomes.refuse(queue, waiting, RefusalReason.NO_ROOM, now)
--- a/reachlink/coordination/_kept_line.py
+++ b/reachlink/coordination/_service_queue.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class KeptLine:
+class ServiceQueue:
     """The line of one service, with the questions of those that wait."""
 
     service: str
--- a/reachlink/coordination/tests/test_return_ledger.py
+++ b/reachlink/coordination/tests/test_caller_retry_ledger.py
@@ -3,8 +3,8 @@
 import pytest
 from structlog.testing import capture_logs
 
-from reachlink.coordination import ReturnLedger
-from reachlink.coordination import _return_ledger as ledger_module
+from reachlink.coordination import CallerRetryLedger
+from reachlink.coordination import _caller_retry_ledger as ledger_module
 from reachlink.requests import PlaceQuestion, Purpose
 from reachlink.scheduling import Begin, Need, QueueState, RefusalReason, Refuse
 
@@ -25,8 +25,8 @@
 
 
 @pytest.fixture
-def ledger(clock) -> ReturnLedger:
-    return ReturnLedger(clock)
+def ledger(clock) -> CallerRetryLedger:
+    return CallerRetryLedger(clock)
 
 
 def question(request_id: str, fingerprint: int = 77) -> PlaceQuestion:
@@ -36,7 +36,7 @@
     )
 
 
-def ask(ledger: ReturnLedger, request_id: str, start, fingerprint: int = 77):
+def ask(ledger: CallerRetryLedger, request_id: str, start, fingerprint: int = 77):
     asked = question(request_id, fingerprint)
     need, promise = ledger.on_arrival(asked)
     return need, ledger.record_decision(asked, need, promise, start, LINE)
--- a/reachlink/coordination/tests/test_line_failures.py
+++ b/reachlink/coordination/tests/test_line_failures.py
@@ -225,7 +225,7 @@
         await all_wait(scene, "id-1", "id-2")
         scene.network.silent.update(c.record.name for c in scene.chosen)
         await asyncio.sleep(MOVED_S)
-        lines = [m.line.waiting.get("chat", 0) for m in scene.others if m.line is not None]
+        lines = [m.line.waiting_counts.get("chat", 0) for m in scene.others if m.line is not None]
         assert lines == [1, 1]
         # What the others had told fades, and with it what stood against a start.
         assert await scene.all_ended(4.0)
@@ -291,7 +291,7 @@
         del scene.tasks[0]
         await asyncio.sleep(0.05)
         owner = scene.owner.line
-        assert owner is not None and owner.waiting == {"chat": 1}
+        assert owner is not None and owner.waiting_counts == {"chat": 1}
         scene.make_room()
         assert await scene.all_ended(1.0)
 
@@ -306,7 +306,7 @@
         scene.tasks[0].cancel()
         del scene.tasks[0]
         await asyncio.sleep(0.05)
-        assert scene.owner.line is not None and scene.owner.line.waiting == {"chat": 1}
+        assert scene.owner.line is not None and scene.owner.line.waiting_counts == {"chat": 1}
         scene.make_room()
         assert await scene.all_ended(1.0)
 
@@ -322,7 +322,7 @@
         # Its call is held for half a second at the most, and its place a little longer.
         await asyncio.sleep(1.0)
         owner = scene.owner.line
-        assert owner is not None and owner.waiting == {"chat": 1}
+        assert owner is not None and owner.waiting_counts == {"chat": 1}
 
     play(story)
 
@@ -333,7 +333,7 @@
             scene.ask(instance, f"id-{number}", tokens=5_000)
         await asyncio.sleep(0.15)
         owner = scene.owner.line
-        assert owner is not None and owner.waiting == {"chat": 4}
+        assert owner is not None and owner.waiting_counts == {"chat": 4}
         scene.make_room()
         assert await scene.all_ended(1.0)
 
--- a/reachlink/coordination/tests/test_line_over_zones.py
+++ b/reachlink/coordination/tests/test_line_over_zones.py
@@ -37,7 +37,9 @@
             for m in self.members
         ]
         await asyncio.sleep(0.3)
-        lines = [c.line.waiting.get("chat", 0) for c in self.coordinators if c.line is not None]
+        lines = [
+            c.line.waiting_counts.get("chat", 0) for c in self.coordinators if c.line is not None
+        ]
         for task in tasks:
             task.cancel()
         await asyncio.sleep(0.1)
--- a/reachlink/coordination/tests/test_line_refusals.py
+++ b/reachlink/coordination/tests/test_line_refusals.py
@@ -91,7 +91,7 @@
         await first.member.ask(back)
         # Its instance says nothing for longer than its place is kept.
         await asyncio.sleep(1.0)
-        assert line.waiting == {"chat": 0}
+        assert line.waiting_counts == {"chat": 0}
         await second.member.ask(asked("older", hold_s=0.0, first_event_due_in_s=50.0, waited_s=3.0))
         answer = await first.member.ask(back)
         assert answer is not None and isinstance(answer.otherwise, Wait)
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -8,11 +8,11 @@
     Attachment,
     Coordinator,
     LimitExchange,
-    LineAsker,
-    LineExchange,
     Member,
     PaceExchange,
     QuarantineExchange,
+    QueueClient,
+    QueueOwner,
 )
 from reachlink.membership import InstanceRecord, ListedInstance, ReplicaDirectory
 from reachlink.messaging import CallTimeoutError, Handler
@@ -158,7 +158,7 @@
         )
         self.placing = Placing(self.parts)
         self.ended: list[str] = []
-        self.line = self._line_exchange() if lines else None
+        self.line = self._queue_owner() if lines else None
         self.silent_zones: set[str] = set()
         self.over_zones = over_zones
         self.coordinator = Coordinator(
@@ -179,10 +179,10 @@
             self.line,
         )
         if self.line is not None:
-            self.member.stand_in_line(self._line_asker(bus, self.line))
+            self.member.use_queue(self._queue_client(bus, self.line))
 
-    def _line_exchange(self) -> LineExchange:
-        return LineExchange(
+    def _queue_owner(self) -> QueueOwner:
+        return QueueOwner(
             self.record.name,
             self.placing,
             self.book,
@@ -193,8 +193,8 @@
             self.clock,
         )
 
-    def _line_asker(self, bus: MemoryBus, line: LineExchange) -> LineAsker:
-        return LineAsker(
+    def _queue_client(self, bus: MemoryBus, line: QueueOwner) -> QueueClient:
+        return QueueClient(
             self.attachment,
             self.record.name,
             bus,  # type: ignore[arg-type]
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -8,11 +8,11 @@
     Attachment,
     Coordinator,
     LimitExchange,
-    LineAsker,
-    LineExchange,
     Member,
     PaceExchange,
     QuarantineExchange,
+    QueueClient,
+    QueueOwner,
 )
 from reachlink.entry._configured_node import ConfiguredNode
 from reachlink.entry._held_sight import HeldSight
@@ -196,18 +196,18 @@
             self.paces,
             self._reach.reach,
             Random(),
-            line=self.line,
+            queue_owner=self.line,
         )
         self._stand_in_line()
         self.reports.on_departure = self.coordinator.wake_members
         self.directory.on_started_again(self._on_started_again)
         self.quarantine.listen(self._tell_at_once)
 
-    def _line_exchange(self) -> LineExchange | None:
+    def _line_exchange(self) -> QueueOwner | None:
         """Return what keeps lines here, where the deployment asks for these."""
         if not self.config.scheduling.line:
             return None
-        return LineExchange(
+        return QueueOwner(
             self.config.name,
             self._runner.placing,
             self.book,
@@ -222,10 +222,10 @@
         line = self.line
         if line is None:
             return
-        self.metrics.export_line(lambda: line.waiting, lambda: line.oldest_s)
-        self.metrics.export_returns(lambda: line.returns)
-        self.member.stand_in_line(
-            LineAsker(
+        self.metrics.export_line(lambda: line.waiting_counts, lambda: line.oldest_wait_s)
+        self.metrics.export_returns(lambda: line.caller_retry_counts)
+        self.member.use_queue(
+            QueueClient(
                 self.attachment,
                 self.config.name,
                 self.bus,
--- a/reachlink/entry/tests/test_relay_node.py
+++ b/reachlink/entry/tests/test_relay_node.py
@@ -6,7 +6,7 @@
 import msgspec
 import pytest
 
-from reachlink.coordination._kept_line import KeptLine
+from reachlink.coordination._service_queue import ServiceQueue
 from reachlink.entry import RelayConfig, RelayNode
 from reachlink.entry.tests.relay import CONFIG
 from reachlink.kernel import _slices, steady_time
@@ -56,13 +56,13 @@
 
 def test_lines_are_kept_only_where_the_deployment_asks_for_them(node, node_with_lines):
     assert node.line is None
-    assert node_with_lines.line is not None and node_with_lines.line.waiting == {}
+    assert node_with_lines.line is not None and node_with_lines.line.waiting_counts == {}
 
 
 def test_operators_see_the_lines_that_an_instance_keeps(node_with_lines):
     line = node_with_lines.line
     need = Need(tokens=4000, give_up_in_s=30.0)
-    line._queues["chat"] = KeptLine("chat")
+    line._queues["chat"] = ServiceQueue("chat")
     line._queues["chat"].requests.join("id-1", "e2", need, steady_time() - 2.0, 10.0)
     node_with_lines.metrics.count_in_line("chat", "granted")
     page = node_with_lines.metrics.page().decode()
