--- a/benchmarks/bench_coordination.py
+++ b/benchmarks/bench_coordination.py
@@ -40,7 +40,7 @@
     coordinator = Instance(network, "c1")
     followers = [Instance(network, f"m{n}") for n in range(members)]
     for instance in [coordinator, *followers]:
-        instance.take_roster(coordinator)
+        instance.update_roster(coordinator)
     listed = [ListedInstance(f"i-{n:010x}", "chat", "a", f"10.1.0.{n}:80") for n in range(replicas)]
     coordinator.directory.update(listed, network.now)
     for number, follower in enumerate(followers):
@@ -54,13 +54,13 @@
 async def measure(members: int, replicas: int) -> dict[str, float]:
     """Return the figures for one number of members."""
     coordinator, followers = fleet(members, replicas)
-    notes = [f.member._make_note("c1", 0.01) for f in followers]
+    notes = [f.member._make_update("c1", 0.01) for f in followers]
     for note in notes:
-        coordinator.coordinator._apply_note(note)
-    first = [coordinator.coordinator._picture_for(note) for note in notes]
+        coordinator.coordinator._apply_update(note)
+    first = [coordinator.coordinator._snapshot_for(note) for note in notes]
     for follower, picture in zip(followers, first, strict=True):
-        follower.member._apply_picture(picture)
-    notes = [f.member._make_note("c1", 0.01) for f in followers]
+        follower.member._apply_snapshot(picture)
+    notes = [f.member._make_update("c1", 0.01) for f in followers]
     sizes = [len(encode(note)) for note in notes]
     notes = [msgspec.structs.replace(note, whole=True) for note in notes]
     some = [msgspec.structs.replace(note, whole=False) for note in notes]
@@ -68,8 +68,8 @@
     began = time.process_time()
     for number in range(ROUNDS):
         for note in some if number % PICTURES_PER_S else notes:
-            coordinator.coordinator._apply_note(note)
-            pictures.append(len(encode(coordinator.coordinator._picture_for(note))))
+            coordinator.coordinator._apply_update(note)
+            pictures.append(len(encode(coordinator.coordinator._snapshot_for(note))))
     exchange_us = (time.process_time() - began) / (ROUNDS * members) * 1e6
     began = time.process_time()
     for _ in range(ROUNDS):
--- a/reachlink/coordination/__init__.py
+++ b/reachlink/coordination/__init__.py
@@ -9,12 +9,12 @@
 import warnings
 from typing import Any
 
-from reachlink.coordination._attachment import Attachment
 from reachlink.coordination._caller_retry_ledger import CallerRetryLedger
 from reachlink.coordination._coordinator import Coordinator
+from reachlink.coordination._coordinator_selector import CoordinatorSelector
 from reachlink.coordination._limit_exchange import LimitExchange
 from reachlink.coordination._member import Member
-from reachlink.coordination._messages import MemberNote, Picture
+from reachlink.coordination._messages import CoordinatorSnapshot, MemberUpdate
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
 from reachlink.coordination._queue_client import QueueClient
@@ -31,14 +31,14 @@
 
 
 __all__ = [
-    "Attachment",
+    "CoordinatorSelector",
     "Coordinator",
     "LimitExchange",
     "QueueClient",
     "QueueOwner",
     "Member",
-    "MemberNote",
-    "Picture",
+    "MemberUpdate",
+    "CoordinatorSnapshot",
     "PaceExchange",
     "QuarantineExchange",
     "CallerRetryLedger",
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -10,8 +10,8 @@
     CHANNEL_MEMBER,
     CHANNEL_PLACE,
     CHANNEL_QUEUE_LEFT,
-    MemberNote,
-    Picture,
+    CoordinatorSnapshot,
+    MemberUpdate,
     QueueLeft,
 )
 from reachlink.coordination._pace_exchange import PaceExchange
@@ -133,11 +133,11 @@
         self._coordinating_since: float | None = None
         self._news_event = asyncio.Event()
         self._log: Any = get_logger()
-        bus.handle(CHANNEL_MEMBER, self._on_note)
+        bus.handle(CHANNEL_MEMBER, self._on_update)
         bus.handle(CHANNEL_PLACE, self._on_question)
         bus.handle(CHANNEL_QUEUE_LEFT, self._on_left)
 
-    def take_role(self, coordinates: bool) -> None:
+    def set_coordinating(self, coordinates: bool) -> None:
         """Take whether this instance coordinates from now on."""
         if not coordinates:
             self._coordinating_since = None
@@ -145,7 +145,7 @@
             self._coordinating_since = self._clock()
 
     @property
-    def settled(self) -> bool:
+    def ready(self) -> bool:
         """Whether it coordinates, has a list, and has listened for long enough to decide."""
         if self._coordinating_since is None or not self._directory.is_whole:
             return False
@@ -160,7 +160,7 @@
             self._shared.forget(name)
         return list(self._members)
 
-    def with_members(self, own: list[ReplicaShare]) -> list[ReplicaShare]:
+    def add_member_shares(self, own: list[ReplicaShare]) -> list[ReplicaShare]:
         """Return own shares together with those of all members, for other coordinators."""
         members = self.members
         if not members:
@@ -171,16 +171,16 @@
                 found.setdefault(share.replica, []).append(share)
         return [total(shares) for shares in found.values()]
 
-    def wake_members(self) -> None:
-        """Give members that wait for news a picture now: a replica leaves, a zone is cut off."""
+    def notify_members(self) -> None:
+        """Give members that wait for news a snapshot now: a replica leaves, a zone is cut off."""
         self._news_event.set()
         self._news_event = asyncio.Event()
         if self._queue_owner is not None:
             self._queue_owner.wake()
 
-    async def _on_note(self, sender: str, body: bytes) -> bytes:
-        note = decode(body, MemberNote)
-        self._apply_note(note)
+    async def _on_update(self, sender: str, body: bytes) -> bytes:
+        note = decode(body, MemberUpdate)
+        self._apply_update(note)
         if note.wait_s <= 0.0:
             # Told unasked: something has begun or ended, and nobody waits.
             self._book.touch()
@@ -190,17 +190,17 @@
         behind = self._quarantine.is_behind(note.load.quarantine)
         if not behind and not self._quarantine.has_news:
             await self._wait_for_news(note.wait_s)
-        return encode(self._picture_for(note))
+        return encode(self._snapshot_for(note))
 
     async def _wait_for_news(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
                 await self._news_event.wait()
         except TimeoutError:
-            # Nothing happened meanwhile: the member gets the usual picture.
+            # Nothing happened meanwhile: the member gets the usual snapshot.
             return
 
-    def _apply_note(self, note: MemberNote) -> None:
+    def _apply_update(self, note: MemberUpdate) -> None:
         now = self._clock()
         name = note.load.instance
         if name not in self._members:
@@ -220,9 +220,9 @@
         question = decode(body, PlaceQuestion)
         # Without a list it would say that there is no room.
         insists = question.insist and self._directory.is_whole
-        if not self.settled and not insists:
+        if not self.ready and not insists:
             return encode(PlaceAnswer(settled=False))
-        if self._queue_owner is not None and self.settled and question.in_line:
+        if self._queue_owner is not None and self.ready and question.in_line:
             return encode(await self._queue_owner.answer(question))
         return encode(PlaceAnswer(settled=True, replica=self._decide(question)))
 
@@ -246,7 +246,7 @@
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
 
-    def _picture_for(self, note: MemberNote) -> Picture:
+    def _snapshot_for(self, note: MemberUpdate) -> CoordinatorSnapshot:
         member = note.load.instance
         replicas = [r for s in self._services() for r in self._engine_replicas(s.name)]
         present = {share.replica for share in note.load.shares}
@@ -256,7 +256,7 @@
         whole = self._directory.is_whole
         digest = digest_of(listed) if whole else 0
         reach = self._reach()
-        return Picture(
+        return CoordinatorSnapshot(
             coordinator=self._name,
             shares=self._shares_for(member, told, present),
             whole=note.whole,
--- a/reachlink/coordination/_attachment.py
+++ b/reachlink/coordination/_coordinator_selector.py
@@ -11,7 +11,7 @@
 RETRY_AFTER_SILENCE_S = 2.0
 
 
-class Attachment:
+class CoordinatorSelector:
     """Chooses among the coordinators, the same one as long as it answers.
 
     Parameters
@@ -21,14 +21,14 @@
 
     Examples
     --------
-    >>> attachment = Attachment("e9", "a")
+    >>> selector = CoordinatorSelector("e9", "a")
     >>> near = InstanceRecord("e1", "10.0.0.1:7201", "a")
     >>> far = InstanceRecord("e2", "10.0.1.1:7201", "b")
-    >>> attachment.take([far, near])
-    >>> attachment.is_member, [c.name for c in attachment.by_preference(0.0)]
+    >>> selector.set_coordinators([far, near])
+    >>> selector.is_member, [c.name for c in selector.by_preference(0.0)]
     (True, ['e1', 'e2'])
-    >>> attachment.mark_silent("e1", 0.0)
-    >>> [c.name for c in attachment.by_preference(0.5)]
+    >>> selector.mark_silent("e1", 0.0)
+    >>> [c.name for c in selector.by_preference(0.5)]
     ['e2', 'e1']
     """
 
@@ -49,7 +49,7 @@
         names = {record.name for record in self._coordinators}
         return bool(names) and self._name not in names
 
-    def take(self, coordinators: Iterable[InstanceRecord]) -> None:
+    def set_coordinators(self, coordinators: Iterable[InstanceRecord]) -> None:
         """Take the coordinators that there are, in order of preference from now on.
 
         Those of this zone go first; among equals the order differs by member, so
--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -81,7 +81,7 @@
         bus.handle(CHANNEL_LIMIT, self._on_question)
         self._log: Any = get_logger()
 
-    def take_roster(self, owners: Iterable[InstanceRecord], instances: int) -> None:
+    def update_roster(self, owners: Iterable[InstanceRecord], instances: int) -> None:
         """Take who may own limits, and how many instances there are."""
         self._addresses = {record.name: record.address for record in owners}
         self._avoided_until.clear()
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -7,9 +7,14 @@
 from msgspec import structs
 
 from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
-from reachlink.coordination._attachment import Attachment
+from reachlink.coordination._coordinator_selector import CoordinatorSelector
 from reachlink.coordination._limit_exchange import LimitExchange
-from reachlink.coordination._messages import CHANNEL_MEMBER, CHANNEL_PLACE, MemberNote, Picture
+from reachlink.coordination._messages import (
+    CHANNEL_MEMBER,
+    CHANNEL_PLACE,
+    CoordinatorSnapshot,
+    MemberUpdate,
+)
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
 from reachlink.coordination._queue_client import QueueClient
@@ -32,21 +37,21 @@
 # model engines, and while it has none, in seconds.
 BUSY_WAIT_S = 0.25
 IDLE_WAIT_S = 1.0
-# The same before the first picture of a coordinator, in seconds: an instance that
+# The same before the first snapshot of a coordinator, in seconds: an instance that
 # starts is not ready without the list of replicas.
 FIRST_WAIT_S = 0.01
 # How much longer such an answer may take, in seconds.
 WAIT_MARGIN_S = 0.3
-# Shortest time between two notes of changes, and between two notes with pictures, in
+# Shortest time between two notes of changes, and between two notes with snapshots, in
 # seconds: a coordinator that has not read the list yet is asked again soon.
 MIN_SEND_INTERVAL_S = 0.03
 MIN_POLL_INTERVAL_S = 0.1
-# Time between two pictures of all replicas, in seconds; those between tell only of
+# Time between two snapshots of all replicas, in seconds; those between tell only of
 # replicas where this instance has something, in a third of the bytes. Others are looked at
 # only to ask in vain less often.
-FULL_PICTURE_INTERVAL_S = 0.9
-# A picture older than this says nothing any more, in seconds.
-MAX_PICTURE_AGE_S = 2.5
+FULL_SNAPSHOT_INTERVAL_S = 0.9
+# A snapshot older than this says nothing any more, in seconds.
+MAX_SNAPSHOT_AGE_S = 2.5
 
 
 class Member:
@@ -54,7 +59,7 @@
 
     Parameters
     ----------
-    attachment : Attachment
+    selector : CoordinatorSelector
         Chooses the coordinator.
     name : str
         This instance.
@@ -84,7 +89,7 @@
 
     def __init__(
         self,
-        attachment: Attachment,
+        selector: CoordinatorSelector,
         name: str,
         bus: Bus,
         book: ReplicaBook,
@@ -98,7 +103,7 @@
         count: Callable[[str], None],
         clock: Callable[[], float] = steady_time,
     ) -> None:
-        self._attachment = attachment
+        self._selector = selector
         self._name = name
         self._bus = bus
         self._book = book
@@ -112,12 +117,12 @@
         self._count = count
         self._clock = clock
         self._queue_client: QueueClient | None = None
-        self._picture: Picture | None = None
-        self._picture_at = float("-inf")
-        self._has_list = False
+        self._snapshot: CoordinatorSnapshot | None = None
+        self._snapshot_at = float("-inf")
+        self._has_replica_list = False
         # What the coordinator told of each replica last, and when of all of them.
         self._shares: dict[str, ReplicaShare] = {}
-        self._full_picture_at = float("-inf")
+        self._full_snapshot_at = float("-inf")
         self._changed = asyncio.Event()
         # Set while this instance is a member.
         self._is_member = asyncio.Event()
@@ -125,28 +130,28 @@
         self._log: Any = get_logger()
 
     @property
-    def picture(self) -> Picture | None:
+    def coordinator_snapshot(self) -> CoordinatorSnapshot | None:
         """What the coordinator said last; None where that is too long ago."""
-        if self._clock() - self._picture_at > MAX_PICTURE_AGE_S:
+        if self._clock() - self._snapshot_at > MAX_SNAPSHOT_AGE_S:
             return None
-        return self._picture
+        return self._snapshot
 
     @property
-    def has_list(self) -> bool:
+    def has_replica_list(self) -> bool:
         """Whether a coordinator keeps the list of replicas up to date here."""
-        return self._has_list and self.picture is not None
+        return self._has_replica_list and self.coordinator_snapshot is not None
 
     def use_queue(self, queue_client: QueueClient) -> None:
         """Have requests stand in line that find no room, from now on."""
         self._queue_client = queue_client
 
-    def take_roster(self, coordinators: Iterable[InstanceRecord]) -> None:
+    def update_roster(self, coordinators: Iterable[InstanceRecord]) -> None:
         """Take the coordinators that there are, and close connections to those that were."""
-        before = {record.address for record in self._attachment.coordinators}
-        self._attachment.take(coordinators)
-        for address in before - {record.address for record in self._attachment.coordinators}:
+        before = {record.address for record in self._selector.coordinators}
+        self._selector.set_coordinators(coordinators)
+        for address in before - {record.address for record in self._selector.coordinators}:
             self._bus.forget(address)
-        if self._attachment.is_member:
+        if self._selector.is_member:
             self._is_member.set()
         else:
             self._is_member.clear()
@@ -158,7 +163,7 @@
         """
         if self._queue_client is not None and question.in_line:
             return await self._queue_client.ask(structs.replace(question, instance=self._name))
-        if not self._attachment.is_member:
+        if not self._selector.is_member:
             return None
         answer = await self._ask_coordinators(structs.replace(question, instance=self._name))
         if answer is None:
@@ -169,7 +174,7 @@
         return answer
 
     async def _ask_coordinators(self, question: PlaceQuestion) -> PlaceAnswer | None:
-        coordinators = self._attachment.by_preference(self._clock())
+        coordinators = self._selector.by_preference(self._clock())
         answer, unsettled = await ask_in_order(
             coordinators, lambda one: self._ask_one(one, question)
         )
@@ -191,7 +196,7 @@
             return None
 
     def _note_silence(self, coordinator: InstanceRecord, reason: str) -> None:
-        self._attachment.mark_silent(coordinator.name, self._clock())
+        self._selector.mark_silent(coordinator.name, self._clock())
         self._log.info("coordinator_silent", coordinator=coordinator.name, reason=reason)
 
     async def run(self) -> None:
@@ -199,29 +204,29 @@
         await asyncio.gather(self._poll(), self._send_changes())
 
     async def _poll(self) -> None:
-        """Have the picture kept up to date."""
+        """Have the snapshot kept up to date."""
         while True:
             await self._is_member.wait()
-            coordinator = self._attachment.by_preference(self._clock())[0]
+            coordinator = self._selector.by_preference(self._clock())[0]
             started = self._clock()
             await self._poll_once(coordinator)
             await asyncio.sleep(max(0.0, MIN_POLL_INTERVAL_S - (self._clock() - started)))
 
     async def _poll_once(self, coordinator: InstanceRecord) -> None:
         wait_s = self._wait_s(coordinator)
-        note = encode(self._make_note(coordinator.name, wait_s))
+        note = encode(self._make_update(coordinator.name, wait_s))
         try:
             raw = await self._bus.call(
                 coordinator.address, CHANNEL_MEMBER, note, wait_s + WAIT_MARGIN_S
             )
-            self._apply_picture(decode(raw, Picture))
+            self._apply_snapshot(decode(raw, CoordinatorSnapshot))
         except MessagingError as error:
             self._note_silence(coordinator, str(error))
 
     def _wait_s(self, coordinator: InstanceRecord) -> float:
         """Return how long the answer to a note may be held, in seconds."""
-        picture = self.picture
-        if picture is None or picture.coordinator != coordinator.name:
+        snapshot = self.coordinator_snapshot
+        if snapshot is None or snapshot.coordinator != coordinator.name:
             return FIRST_WAIT_S
         return BUSY_WAIT_S if self._book.carrying() else IDLE_WAIT_S
 
@@ -230,13 +235,13 @@
         while True:
             await self._changed.wait()
             self._changed.clear()
-            if self._attachment.is_member:
-                coordinator = self._attachment.by_preference(self._clock())[0]
-                note = encode(self._make_note(coordinator.name, 0.0))
+            if self._selector.is_member:
+                coordinator = self._selector.by_preference(self._clock())[0]
+                note = encode(self._make_update(coordinator.name, 0.0))
                 self._bus.send(coordinator.address, CHANNEL_MEMBER, note)
             await asyncio.sleep(MIN_SEND_INTERVAL_S)
 
-    def _make_note(self, coordinator: str, wait_s: float) -> MemberNote:
+    def _make_update(self, coordinator: str, wait_s: float) -> MemberUpdate:
         load = LoadNote(
             self._name,
             self._book.shares(self._clock()),
@@ -245,32 +250,32 @@
             limits=self._limits.notes(),
             paces=self._paces.for_coordinator(coordinator),
         )
-        known = self._picture is not None and self._picture.coordinator == coordinator
-        digest = self._picture.list_digest if self._picture is not None and known else 0
-        whole = not known or self._clock() - self._full_picture_at > FULL_PICTURE_INTERVAL_S
-        return MemberNote(load, self._book.take_outcomes(), digest, whole, wait_s)
+        known = self._snapshot is not None and self._snapshot.coordinator == coordinator
+        digest = self._snapshot.list_digest if self._snapshot is not None and known else 0
+        whole = not known or self._clock() - self._full_snapshot_at > FULL_SNAPSHOT_INTERVAL_S
+        return MemberUpdate(load, self._book.take_outcomes(), digest, whole, wait_s)
 
-    def _apply_picture(self, picture: Picture) -> None:
+    def _apply_snapshot(self, snapshot: CoordinatorSnapshot) -> None:
         now = self._clock()
-        before = self._picture
-        if before is not None and before.coordinator != picture.coordinator:
+        before = self._snapshot
+        if before is not None and before.coordinator != snapshot.coordinator:
             self._shared.forget(before.coordinator)
-        if before is None or before.coordinator != picture.coordinator:
-            self._log.info("coordinator_followed", coordinator=picture.coordinator)
-        self._picture, self._picture_at = picture, now
-        if picture.whole:
-            self._shares, self._full_picture_at = {}, now
-        self._shares.update((share.replica, share) for share in picture.shares)
-        self._shared.take(LoadNote(picture.coordinator, list(self._shares.values())), now)
-        if picture.listed:
-            self._has_list = True
-            self._directory.update(as_instances(picture.listed), now)
-        for replica, cold_s in picture.cold.items():
+        if before is None or before.coordinator != snapshot.coordinator:
+            self._log.info("coordinator_followed", coordinator=snapshot.coordinator)
+        self._snapshot, self._snapshot_at = snapshot, now
+        if snapshot.whole:
+            self._shares, self._full_snapshot_at = {}, now
+        self._shares.update((share.replica, share) for share in snapshot.shares)
+        self._shared.take(LoadNote(snapshot.coordinator, list(self._shares.values())), now)
+        if snapshot.listed:
+            self._has_replica_list = True
+            self._directory.update(as_instances(snapshot.listed), now)
+        for replica, cold_s in snapshot.cold.items():
             self._directory.note_cold(replica, cold_s, now)
-        self._take_news(picture.news)
-        self._quarantine.take(picture.quarantine)
-        self._limits.take(picture.limits)
-        self._paces.take_from_coordinator(picture.coordinator, picture.paces)
-        for replica, allowance in picture.allowances.items():
+        self._take_news(snapshot.news)
+        self._quarantine.take(snapshot.quarantine)
+        self._limits.take(snapshot.limits)
+        self._paces.take_from_coordinator(snapshot.coordinator, snapshot.paces)
+        for replica, allowance in snapshot.allowances.items():
             state = self._book.state(replica)
             state.told_allowance, state.told_at = allowance, now
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -12,7 +12,7 @@
 from reachlink.scheduling import PaceUpdate
 
 CHANNEL_MEMBER = "member"
-"""One-way: a `MemberNote`. Call: the same, answered with a `Picture`."""
+"""One-way: a `MemberUpdate`. Call: the same, answered with a `CoordinatorSnapshot`."""
 CHANNEL_PLACE = "place"
 """Call: a `PlaceQuestion`, answered with a `PlaceAnswer`."""
 CHANNEL_QUEUE_LEFT = "left"
@@ -34,7 +34,7 @@
     request_id: str
 
 
-class MemberNote(msgspec.Struct, array_like=True, frozen=True):
+class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
     """What a member has at the replicas, and how much of the picture it has.
 
     Attributes
@@ -60,7 +60,7 @@
     wait_s: float = 0.0
 
 
-class Picture(msgspec.Struct, array_like=True, frozen=True):
+class CoordinatorSnapshot(msgspec.Struct, array_like=True, frozen=True):
     """What a coordinator knows, as far as it matters to one member.
 
     Attributes
--- a/reachlink/coordination/_queue_client.py
+++ b/reachlink/coordination/_queue_client.py
@@ -7,7 +7,7 @@
 from msgspec import structs
 
 from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
-from reachlink.coordination._attachment import Attachment
+from reachlink.coordination._coordinator_selector import CoordinatorSelector
 from reachlink.coordination._messages import CHANNEL_PLACE, CHANNEL_QUEUE_LEFT, QueueLeft
 from reachlink.coordination._queue_owner import QueueOwner
 from reachlink.kernel import steady_time
@@ -30,7 +30,7 @@
 
     Parameters
     ----------
-    attachment : Attachment
+    selector : CoordinatorSelector
         Knows who keeps which line.
     name : str
         This instance.
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        attachment: Attachment,
+        selector: CoordinatorSelector,
         name: str,
         bus: Bus,
         own: QueueOwner,
@@ -61,7 +61,7 @@
         silent_zones: Callable[[], Set[str]] | None = None,
         clock: Callable[[], float] = steady_time,
     ) -> None:
-        self._attachment = attachment
+        self._selector = selector
         self._name = name
         self._bus = bus
         self._own = own
@@ -111,8 +111,8 @@
     def _owners(self, service: str) -> list[InstanceRecord]:
         now = self._clock()
         if self._silent_zones is None:
-            return self._attachment.owners(service, now)
-        return self._attachment.owners_over_zones(service, now, self._silent_zones())
+            return self._selector.owners(service, now)
+        return self._selector.owners_over_zones(service, now, self._silent_zones())
 
     async def _queue_locally(self, question: PlaceQuestion) -> PlaceAnswer:
         if not question.hold_s:
@@ -163,7 +163,7 @@
             lost_task.cancel()
 
     def _note_silence(self, owner: InstanceRecord, reason: str) -> None:
-        self._attachment.mark_silent(owner.name, self._clock())
+        self._selector.mark_silent(owner.name, self._clock())
         lost = self._lost_owners.pop(owner.name, None)
         if lost is not None:
             lost.set()
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -47,9 +47,9 @@
 def test_the_first_picture_is_not_waited_for():
     async def play():
         network, _, (m1, _) = fleet(coordinators=1)
-        first = m1.member._wait_s(m1.attachment.by_preference(network.now)[0])
+        first = m1.member._wait_s(m1.selector.by_preference(network.now)[0])
         await m1.follow()
-        return first, m1.member._wait_s(m1.attachment.by_preference(network.now)[0])
+        return first, m1.member._wait_s(m1.selector.by_preference(network.now)[0])
 
     first, later = asyncio.run(play())
     assert first < 0.1 < later
@@ -94,7 +94,7 @@
 def test_the_other_coordinator_is_asked_where_one_is_silent_and_not_the_silent_one_again():
     async def play():
         network, _, (m1, _) = fleet()
-        first = m1.attachment.by_preference(network.now)[0]
+        first = m1.selector.by_preference(network.now)[0]
         network.silent.add(first.name)
         answers = [await m1.member.ask(question(4_000)) for _ in range(3)]
         asked = [address for address, _ in network.calls]
@@ -123,10 +123,10 @@
 def test_one_that_has_just_started_decides_only_where_no_other_does():
     async def play():
         network, (c1, c2), (m1, _) = fleet()
-        first = m1.attachment.by_preference(network.now)[0]
+        first = m1.selector.by_preference(network.now)[0]
         fresh, other = (c1, c2) if first.name == "c1" else (c2, c1)
-        fresh.coordinator.take_role(False)
-        fresh.coordinator.take_role(True)
+        fresh.coordinator.set_coordinating(False)
+        fresh.coordinator.set_coordinating(True)
         other.begin("r1", 30_000)
         by_other = await m1.member.ask(question())
         network.silent.add(other.record.name)
@@ -157,7 +157,7 @@
     async def play():
         network, (c1, c2), (m1, _) = fleet()
         m1.begin("r1")
-        first = m1.attachment.by_preference(network.now)[0].name
+        first = m1.selector.by_preference(network.now)[0].name
         old, new = (c1, c2) if first == "c1" else (c2, c1)
         await m1.follow()
         network.silent.add(first)
@@ -166,7 +166,7 @@
         await m1.follow()
         network.now += 3.1
         await m1.follow()
-        return old.coordinator.with_members([]), new.coordinator.with_members([])
+        return old.coordinator.add_member_shares([]), new.coordinator.add_member_shares([])
 
     at_old, at_new = asyncio.run(play())
     assert at_old == [] or at_new == []
@@ -180,7 +180,7 @@
         waiting = asyncio.create_task(m1.follow())
         await wait_until(lambda: c1.coordinator.members)
         c1.directory.mark_leaving("r1", LeavingSource.CLOSING, network.now)
-        c1.coordinator.wake_members()
+        c1.coordinator.notify_members()
         await waiting
         return m1
 
@@ -212,7 +212,7 @@
         m2.begin("r1", 4_000)
         await m1.follow()
         await m2.follow()
-        return c1.coordinator.with_members(c1.book.shares(c1.clock()))
+        return c1.coordinator.add_member_shares(c1.book.shares(c1.clock()))
 
     (share,) = asyncio.run(play())
     assert (share.running, share.tokens) == (3, 7_000)
@@ -221,7 +221,7 @@
 def test_connections_to_former_coordinators_are_closed():
     async def play():
         network, (c1, c2), (m1, _) = fleet()
-        m1.take_roster(c2)
+        m1.update_roster(c2)
         return network.forgotten
 
     assert asyncio.run(play()) == ["c1"]
--- a/reachlink/coordination/tests/test_first_list.py
+++ b/reachlink/coordination/tests/test_first_list.py
@@ -16,7 +16,7 @@
     coordinator = Instance(network, "c1", lines=lines)
     member = Instance(network, "m1", lines=lines)
     for instance in (coordinator, member):
-        instance.take_roster(coordinator)
+        instance.update_roster(coordinator)
     coordinator.directory.hear(REPLICAS[:1], network.now)
     network.now += 10.0
     return network, coordinator, member
@@ -31,10 +31,10 @@
         _, coordinator, member = two()
         member.list_replicas()
         await member.follow()
-        kept, had_list = names(member), member.member.has_list
+        kept, had_list = names(member), member.member.has_replica_list
         coordinator.list_replicas()
         await member.follow()
-        return kept, had_list, names(member), member.member.has_list
+        return kept, had_list, names(member), member.member.has_replica_list
 
     kept, had_list, later, has_list = asyncio.run(play())
     assert kept == later == ["r1", "r2"]
@@ -60,10 +60,10 @@
     async def play():
         _, coordinator, member = two()
         await member.follow()
-        before = member.member.has_list, member.directory.is_whole
+        before = member.member.has_replica_list, member.directory.is_whole
         coordinator.list_replicas()
         await member.follow()
-        return before, (member.member.has_list, member.directory.is_whole), names(member)
+        return before, (member.member.has_replica_list, member.directory.is_whole), names(member)
 
     before, after, found = asyncio.run(play())
     assert before == (False, False) and after == (True, True) and found == ["r1", "r2"]
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -21,7 +21,7 @@
     made = [Instance(network, f"e{n}") for n in range(3)]
     for one in made:
         one.list_replicas()
-        one.limits.take_roster([other.record for other in made], len(made))
+        one.limits.update_roster([other.record for other in made], len(made))
     network.now += sharing.SETTLE_S
     hear(made)
     for one in made:
@@ -146,7 +146,7 @@
     coordinator, member = Instance(network, "c"), Instance(network, "m")
     for one in (coordinator, member):
         one.list_replicas()
-        one.take_roster(coordinator)
+        one.update_roster(coordinator)
     member.pacing.limits.record(ADDRESS, PER_S, network.now)
 
     async def story():
--- a/reachlink/coordination/tests/test_line.py
+++ b/reachlink/coordination/tests/test_line.py
@@ -65,7 +65,7 @@
 
 
 def owner_of(instance: Instance, chosen: list[Instance], now: float) -> Instance:
-    name = instance.attachment.owners("chat", now)[0].name
+    name = instance.selector.owners("chat", now)[0].name
     return next(c for c in chosen if c.record.name == name)
 
 
--- a/reachlink/coordination/tests/test_line_failures.py
+++ b/reachlink/coordination/tests/test_line_failures.py
@@ -54,7 +54,7 @@
 
     @property
     def owner(self) -> Instance:
-        name = self.others[0].attachment.owners("chat", self.network.now)[0].name
+        name = self.others[0].selector.owners("chat", self.network.now)[0].name
         return next(c for c in self.chosen if c.record.name == name)
 
     def tell(self) -> None:
@@ -238,7 +238,7 @@
         await all_wait(scene, "id-1", "id-2")
         # One member loses the owner, the other does not.
         other = scene.others[1]
-        other.attachment.mark_silent(scene.owner.record.name, scene.network.now)
+        other.selector.mark_silent(scene.owner.record.name, scene.network.now)
         await asyncio.sleep(0.6)
         scene.make_room()
         assert await scene.all_ended(1.0)
@@ -250,8 +250,8 @@
     async def story(scene: Scene) -> None:
         await all_wait(scene, "id-1", "id-2")
         for coordinator in scene.chosen:
-            coordinator.coordinator.take_role(False)
-            coordinator.coordinator.take_role(True)
+            coordinator.coordinator.set_coordinating(False)
+            coordinator.coordinator.set_coordinating(True)
         await asyncio.sleep(0.6)
         scene.make_room()
         assert await scene.all_ended(2.0)
@@ -263,7 +263,7 @@
     async def story(scene: Scene) -> None:
         await all_wait(scene, "id-1", "id-2")
         for coordinator in scene.chosen:
-            coordinator.coordinator.take_role(False)
+            coordinator.coordinator.set_coordinating(False)
         assert await scene.all_ended(0.25 * TIMEOUT_S)
 
     scene = play(story)
@@ -273,8 +273,8 @@
 def test_all_start_together_and_each_decides_as_without_a_line():
     async def story(scene: Scene) -> None:
         for coordinator in scene.chosen:
-            coordinator.coordinator.take_role(False)
-            coordinator.coordinator.take_role(True)
+            coordinator.coordinator.set_coordinating(False)
+            coordinator.coordinator.set_coordinating(True)
         scene.make_room()
         for number, instance in enumerate(scene.everyone):
             scene.ask(instance, f"id-{number}", tokens=5_000)
--- a/reachlink/coordination/tests/test_line_over_zones.py
+++ b/reachlink/coordination/tests/test_line_over_zones.py
@@ -23,7 +23,7 @@
             Instance(self.network, f"m-{zone}", zone, True, over_zones) for zone in ZONES
         ]
         for instance in self.coordinators + self.members:
-            instance.take_roster(*self.coordinators)
+            instance.update_roster(*self.coordinators)
             instance.list_replicas()
         self.network.now += 10.0
         for coordinator in self.coordinators:
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.coordination import Picture
+from reachlink.coordination import CoordinatorSnapshot
 from reachlink.coordination._pace_exchange import MAX_NOTES, MAX_RECIPIENTS, RESEND_INTERVAL_S
 from reachlink.coordination.tests.world import REPLICAS, Instance, Network, fleet
 from reachlink.membership import ListedInstance
@@ -41,7 +41,7 @@
     async def play():
         network, (c1, c2), (m1, m2) = fleet()
         for member, coordinator in ((m1, c1), (m2, c2)):
-            member.take_roster(coordinator)
+            member.update_roster(coordinator)
             await member.follow()
         tell(m1, "r1", 0.55)
         network.now += 1.0
@@ -182,7 +182,7 @@
 
 def test_notes_of_instances_that_know_no_paces_are_read():
     assert decode(encode(["c1", []]), LoadNote).paces == []
-    assert decode(encode(["c1", []]), Picture).paces == []
+    assert decode(encode(["c1", []]), CoordinatorSnapshot).paces == []
 
 
 @pytest.mark.parametrize("replicas,every_s", [(710, 1.0), (2000, 0.25)])
--- a/reachlink/coordination/tests/test_quarantine_exchange.py
+++ b/reachlink/coordination/tests/test_quarantine_exchange.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.coordination import Picture
+from reachlink.coordination import CoordinatorSnapshot
 from reachlink.coordination import _quarantine_exchange as exchange
 from reachlink.coordination._quarantine_exchange import RESYNC_DELAY_S
 from reachlink.coordination.tests.world import Instance, Network
@@ -30,7 +30,7 @@
         members = [Instance(network, name) for name in ("e2", "e3", "e4")]
         for one in (coordinator, *members):
             one.list_replicas()
-            one.take_roster(coordinator)
+            one.update_roster(coordinator)
         network.now += 5.0
         for number, member in enumerate(members):
             crash(member, number)
@@ -48,15 +48,15 @@
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
             one.list_replicas()
-            one.take_roster(coordinator)
+            one.update_roster(coordinator)
         network.now += 5.0
         await member.follow()
         for number in range(3):
             crash(coordinator, number)
         asking = network.handlers["e1"]["member"](
-            "e2", encode(member.member._make_note("e1", 30.0))
+            "e2", encode(member.member._make_update("e1", 30.0))
         )
-        picture = decode(await asyncio.wait_for(asking, 5.0), Picture)
+        picture = decode(await asyncio.wait_for(asking, 5.0), CoordinatorSnapshot)
         assert len(picture.quarantine.crashes) == 3
 
     asyncio.run(work())
@@ -157,7 +157,7 @@
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
             one.list_replicas()
-            one.take_roster(coordinator)
+            one.update_roster(coordinator)
         member.crash_news.take_peers(["e1"], alone=False)
         coordinator.crash_news.take_peers([], alone=False)
         for number in range(3):
@@ -182,13 +182,13 @@
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
             one.list_replicas()
-            one.take_roster(coordinator)
+            one.update_roster(coordinator)
         for number in range(3):
             crash(member, number)
         network.now += 10.0
-        note = member.member._make_note("e1", 30.0)
-        asking = network.handlers["e1"]["member"]("e2", encode(note))
-        assert decode(await asyncio.wait_for(asking, 5.0), Picture).quarantine.digest == 0
+        note = member.member._make_update("e1", 30.0)
+        call = network.handlers["e1"]["member"]("e2", encode(note))
+        assert decode(await asyncio.wait_for(call, 5.0), CoordinatorSnapshot).quarantine.digest == 0
 
     asyncio.run(work())
 
@@ -199,7 +199,7 @@
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
             one.list_replicas()
-            one.take_roster(coordinator)
+            one.update_roster(coordinator)
         crash(member, 1)
         network.now += 10.0
         coordinator.crash_news.take_peers([], alone=False)
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -5,8 +5,8 @@
 from random import Random
 
 from reachlink.coordination import (
-    Attachment,
     Coordinator,
+    CoordinatorSelector,
     LimitExchange,
     Member,
     PaceExchange,
@@ -106,7 +106,7 @@
         self.book = ReplicaBook()
         self.shared = SharedLoad()
         self.directory = ReplicaDirectory()
-        self.attachment = Attachment(name, zone)
+        self.selector = CoordinatorSelector(name, zone)
         self.news: list[object] = []
         self.outcomes: list[str] = []
         bus = MemoryBus(network, name)
@@ -129,7 +129,7 @@
         )
         self.paces = PaceExchange(self.book.paces, self.directory, self.clock)
         self.member = Member(
-            self.attachment,
+            self.selector,
             name,
             bus,  # type: ignore[arg-type]
             self.book,
@@ -195,11 +195,11 @@
 
     def _queue_client(self, bus: MemoryBus, line: QueueOwner) -> QueueClient:
         return QueueClient(
-            self.attachment,
+            self.selector,
             self.record.name,
             bus,  # type: ignore[arg-type]
             line,
-            lambda: self.coordinator.settled,
+            lambda: self.coordinator.ready,
             self.outcomes.append,
             (lambda: self.silent_zones) if self.over_zones else None,
             self.clock,
@@ -211,13 +211,13 @@
     def list_replicas(self) -> None:
         self.directory.update(REPLICAS, self.network.now)
 
-    def take_roster(self, *coordinators: "Instance") -> None:
-        self.member.take_roster([c.record for c in coordinators])
-        self.coordinator.take_role(not self.attachment.is_member)
+    def update_roster(self, *coordinators: "Instance") -> None:
+        self.member.update_roster([c.record for c in coordinators])
+        self.coordinator.set_coordinating(not self.selector.is_member)
 
     async def follow(self) -> None:
         """Exchange one note and picture with the preferred coordinator."""
-        coordinator = self.attachment.by_preference(self.network.now)[0]
+        coordinator = self.selector.by_preference(self.network.now)[0]
         await self.member._poll_once(coordinator)
 
     def begin(self, replica: str, tokens: int = 9_000) -> Flight:
@@ -235,7 +235,7 @@
     chosen = [Instance(network, f"c{i}", lines=lines) for i in range(1, coordinators + 1)]
     others = [Instance(network, f"m{i}", lines=lines) for i in range(1, members + 1)]
     for instance in chosen + others:
-        instance.take_roster(*chosen)
+        instance.update_roster(*chosen)
     for coordinator in chosen:
         coordinator.list_replicas()
     network.now += 10.0
--- a/reachlink/entry/_node.py
+++ b/reachlink/entry/_node.py
@@ -91,7 +91,7 @@
         self.client.gate = self.limits
         self.client.on_limit = self._tell_limits
         records = [InstanceRecord(p.name, p.address, p.availability_zone) for p in config.peers]
-        self.limits.take_roster([*records, self._record()], len(records) + 1)
+        self.limits.update_roster([*records, self._record()], len(records) + 1)
         self.directory.on_started_again(self._on_started_again)
         self.crash_news.take_peers([p.address for p in config.peers], alone=not config.peers)
         self.quarantine.listen(self._tell_crashes)
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -5,8 +5,8 @@
 
 from reachlink.control import ControlClient
 from reachlink.coordination import (
-    Attachment,
     Coordinator,
+    CoordinatorSelector,
     LimitExchange,
     Member,
     PaceExchange,
@@ -104,9 +104,9 @@
             config.availability_zone,
         )
         self.listed = ListNews(self.directory, self._tell_at_once)
-        self.attachment = Attachment(config.name, config.availability_zone)
+        self.selector = CoordinatorSelector(config.name, config.availability_zone)
         self.member = Member(
-            self.attachment,
+            self.selector,
             config.name,
             self.bus,
             self.book,
@@ -136,10 +136,10 @@
         self._isolation = Isolation(config.availability_zone, self.shared, self._zone_answered_at)
         self._reach = ZoneReach(
             config.availability_zone,
-            self.attachment,
+            self.selector,
             self.member,
             self._isolation,
-            lambda: self.coordinator.wake_members(),
+            lambda: self.coordinator.notify_members(),
         )
         self.ready = False
         self.not_ready_reason = "starting: no settings yet"
@@ -199,7 +199,7 @@
             queue_owner=self.line,
         )
         self._stand_in_line()
-        self.reports.on_departure = self.coordinator.wake_members
+        self.reports.on_departure = self.coordinator.notify_members
         self.directory.on_started_again(self._on_started_again)
         self.quarantine.listen(self._tell_at_once)
 
@@ -226,11 +226,11 @@
         self.metrics.export_returns(lambda: line.caller_retry_counts)
         self.member.use_queue(
             QueueClient(
-                self.attachment,
+                self.selector,
                 self.config.name,
                 self.bus,
                 line,
-                lambda: self.coordinator.settled,
+                lambda: self.coordinator.ready,
                 lambda outcome: self.metrics.questions.add(1, {"outcome": outcome}),
                 self._reach.silent_zones if self.config.scheduling.over_zones else None,
             )
@@ -295,20 +295,20 @@
 
     def deciders(self) -> Deciders:
         """Return the instances that choose replicas."""
-        coordinators = tuple(record.name for record in self.attachment.coordinators)
+        coordinators = tuple(record.name for record in self.selector.coordinators)
         return Deciders(self.name, coordinators, self._instances)
 
     def list_readers(self) -> int:
         """Return how many instances read the platform's list by turns."""
-        return max(1, len(self.attachment.coordinators))
+        return max(1, len(self.selector.coordinators))
 
     def reading_role(self) -> ReadingRole:
         """Return whether this instance reads the platform's list itself."""
-        if not self.attachment.coordinators:
+        if not self.selector.coordinators:
             return ReadingRole.UNKNOWN
-        if not self.attachment.is_member:
+        if not self.selector.is_member:
             return ReadingRole.READS
-        return ReadingRole.TOLD if self.member.has_list else ReadingRole.UNKNOWN
+        return ReadingRole.TOLD if self.member.has_replica_list else ReadingRole.UNKNOWN
 
     def cut_off(self) -> bool:
         """Return whether this instance's zone is cut off from the others."""
@@ -316,7 +316,7 @@
 
     def _shares(self) -> list[ReplicaShare]:
         """Return the requests of this instance and its members at model engines."""
-        return self.coordinator.with_members(self.book.shares(steady_time()))
+        return self.coordinator.add_member_shares(self.book.shares(steady_time()))
 
     def _zone_answered_at(self, zone: str) -> float:
         """Return when a replica of a zone answered last, in monotonic seconds."""
@@ -332,7 +332,7 @@
 
     def zone_peers(self) -> list[str]:
         """Return the addresses of the coordinators of this zone that are known."""
-        others = [c for c in self.attachment.coordinators if c.name != self.name]
+        others = [c for c in self.selector.coordinators if c.name != self.name]
         return [c.address for c in others if c.availability_zone == self.zone]
 
     def take_seeds(self, seeds: list[str]) -> None:
@@ -346,15 +346,15 @@
     def on_roster(self, coordinators: list[InstanceRecord], instances: int) -> None:
         """Take the entry instances that coordinate placement, and the number of all."""
         self._instances = max(1, instances)
-        self.member.take_roster(coordinators)
-        member = self.attachment.is_member
+        self.member.update_roster(coordinators)
+        member = self.selector.is_member
         peers = [] if member else [c for c in coordinators if c.name != self.name]
         self.teller.take_peers(peers, coordinators)
-        self.coordinator.take_role(not member and bool(coordinators))
+        self.coordinator.set_coordinating(not member and bool(coordinators))
         self._isolation.take_peers(peers, steady_time())
         others = [c.address for c in coordinators if c.name != self.name]
         self.crash_news.take_peers(others, alone=self._instances <= 1)
-        self.limits.take_roster(coordinators, self._instances)
+        self.limits.update_roster(coordinators, self._instances)
         self._forget_the_gone()
         if coordinators:
             self.reports.take_readers(record.name for record in coordinators)
@@ -388,7 +388,7 @@
     def _tell_at_once(self) -> None:
         """Something was learned that others must know before they send the next request."""
         self.book.touch()
-        self.coordinator.wake_members()
+        self.coordinator.notify_members()
 
     def _engines(self) -> list[str]:
         return [service.name for service in self._engine_services()]
--- a/reachlink/entry/_zone_reach.py
+++ b/reachlink/entry/_zone_reach.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Set
 from typing import Any
 
-from reachlink.coordination import Attachment, Member
+from reachlink.coordination import CoordinatorSelector, Member
 from reachlink.entry._isolation import Isolation, Reach
 from reachlink.kernel import steady_time
 from reachlink.telemetry import get_logger
@@ -16,7 +16,7 @@
     ----------
     zone : str
         This instance's availability zone.
-    attachment : Attachment
+    selector : CoordinatorSelector
         Knows whether this instance follows a coordinator.
     member : Member
         Knows what that coordinator says.
@@ -29,13 +29,13 @@
     def __init__(
         self,
         zone: str,
-        attachment: Attachment,
+        selector: CoordinatorSelector,
         member: Member,
         isolation: Isolation,
         on_change: Callable[[], None],
     ) -> None:
         self._zone = zone
-        self._attachment = attachment
+        self._selector = selector
         self._member = member
         self._isolation = isolation
         self._on_change = on_change
@@ -63,9 +63,9 @@
 
     def reach(self) -> Reach:
         """Return which zones can be reached, as a coordinator says or as is heard here."""
-        picture = self._member.picture if self._attachment.is_member else None
-        if picture is not None:
-            return Reach(frozenset(picture.silent_zones), picture.cut_off)
+        snapshot = self._member.coordinator_snapshot if self._selector.is_member else None
+        if snapshot is not None:
+            return Reach(frozenset(snapshot.silent_zones), snapshot.cut_off)
         found = self._isolation.reach(steady_time())
         if found != self._reach:
             # With the usual wait members would learn of a cut too late, and send requests
--- a/reachlink/kernel/tests/test_layers.py
+++ b/reachlink/kernel/tests/test_layers.py
@@ -38,7 +38,7 @@
     ROOT / "agreement" / "_replication.py",
     ROOT / "agreement" / "_log.py",
     ROOT / "agreement" / "_state.py",
-    ROOT / "coordination" / "_attachment.py",
+    ROOT / "coordination" / "_coordinator_selector.py",
     ROOT / "coordination" / "_messages.py",
     ROOT / "coordination" / "_replica_list.py",
     ROOT / "requests" / "_attempts.py",
