--- a/benchmarks/bench_paces.py
+++ b/benchmarks/bench_paces.py
@@ -171,21 +171,21 @@
             instance.book.paces.forget_gone(alive)
         for number, member in enumerate(others):
             home = chosen[number % coordinators]
-            notes = member.paces.for_coordinator(home.record.name)
-            home.paces.take_from_member(member.record.name, notes)
+            notes = member.paces.updates_for_coordinator(home.record.name)
+            home.paces.apply_from_member(member.record.name, notes)
             count += len(notes)
             to_coordinators += sum(len(encode(note)) for note in notes)
         for home in chosen:
-            notes = home.paces.for_peers()
+            notes = home.paces.updates_for_peers()
             count += len(notes) * (coordinators - 1)
             to_coordinators += sum(len(encode(note)) for note in notes) * (coordinators - 1)
             for peer in chosen:
                 if peer is not home:
-                    peer.paces.take_from_coordinator(home.record.name, notes)
+                    peer.paces.apply_from_coordinator(home.record.name, notes)
         for number, member in enumerate(others):
             home = chosen[number % coordinators]
-            notes = home.paces.for_member(member.record.name)
-            member.paces.take_from_coordinator(home.record.name, notes)
+            notes = home.paces.updates_for_member(member.record.name)
+            member.paces.apply_from_coordinator(home.record.name, notes)
             count += len(notes)
             to_members += sum(len(encode(note)) for note in notes)
     return count / LASTS_S, to_coordinators / LASTS_S, to_members / LASTS_S
--- a/reachlink/coordination/__init__.py
+++ b/reachlink/coordination/__init__.py
@@ -19,7 +19,12 @@
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
 from reachlink.coordination._queue_client import QueueClient
 from reachlink.coordination._queue_owner import QueueOwner
-from reachlink.coordination._replica_list import as_instances, as_listed, digest_of, listed_replicas
+from reachlink.coordination._replica_list import (
+    listed_replicas,
+    replica_list_digest,
+    to_listed_instances,
+    to_listed_replica,
+)
 
 
 def __getattr__(name: str) -> Any:
@@ -42,8 +47,8 @@
     "PaceExchange",
     "QuarantineExchange",
     "CallerRetryLedger",
-    "as_instances",
-    "as_listed",
-    "digest_of",
+    "to_listed_instances",
+    "to_listed_replica",
+    "replica_list_digest",
     "listed_replicas",
 ]
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -17,7 +17,7 @@
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
 from reachlink.coordination._queue_owner import QueueOwner
-from reachlink.coordination._replica_list import digest_of, listed_replicas
+from reachlink.coordination._replica_list import listed_replicas, replica_list_digest
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
 from reachlink.messaging import Bus, decode, encode
@@ -208,9 +208,9 @@
         self._members[name] = now
         self._shared.take(note.load, now)
         self._take_news(note.load.news)
-        self._quarantine.take(note.load.quarantine)
-        self._limits.take(note.load.limits)
-        self._paces.take_from_member(name, note.load.paces)
+        self._quarantine.apply_update(note.load.quarantine)
+        self._limits.apply_updates(note.load.limits)
+        self._paces.apply_from_member(name, note.load.paces)
         for outcome in note.outcomes:
             self._book.note_outcome(outcome, now, self._random)
         if self._queue_owner is not None:
@@ -254,7 +254,7 @@
         listed = listed_replicas(self._directory, self._clock())
         # Before the first list a member may know more.
         whole = self._directory.is_whole
-        digest = digest_of(listed) if whole else 0
+        digest = replica_list_digest(listed) if whole else 0
         reach = self._reach()
         return CoordinatorSnapshot(
             coordinator=self._name,
@@ -267,9 +267,9 @@
             cut_off=reach.cut_off,
             allowances=self._allowances(),
             cold={r.name: r.cold_s for r in listed if r.cold_s > 0.0},
-            quarantine=self._quarantine.note(),
-            limits=self._limits.notes(),
-            paces=self._paces.for_member(member, new=not note.list_digest),
+            quarantine=self._quarantine.make_update(),
+            limits=self._limits.updates(),
+            paces=self._paces.updates_for_member(member, new=not note.list_digest),
         )
 
     def _engine_replicas(self, service: str) -> list[Replica]:
--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -104,7 +104,7 @@
         self._count("granted" if wait_s <= asked.max_wait_s else "refused")
         return wait_s
 
-    def notes(self) -> list[LimitUpdate]:
+    def updates(self) -> list[LimitUpdate]:
         """Return what others should know of limits."""
         now = self._clock()
         said: dict[str, tuple[float | None, float]] = {
@@ -118,7 +118,7 @@
             if now - at < MAX_NOTE_AGE_S and (name := self._directory.name_at(address))
         ]
 
-    def take(self, notes: Iterable[LimitUpdate]) -> None:
+    def apply_updates(self, notes: Iterable[LimitUpdate]) -> None:
         """Take what another instance tells of limits."""
         now = self._clock()
         for note in notes:
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -18,7 +18,7 @@
 from reachlink.coordination._pace_exchange import PaceExchange
 from reachlink.coordination._quarantine_exchange import QuarantineExchange
 from reachlink.coordination._queue_client import QueueClient
-from reachlink.coordination._replica_list import as_instances
+from reachlink.coordination._replica_list import to_listed_instances
 from reachlink.kernel import steady_time
 from reachlink.membership import InstanceRecord, ReplicaDirectory
 from reachlink.messaging import Bus, MessagingError, decode, encode
@@ -246,9 +246,9 @@
             self._name,
             self._book.shares(self._clock()),
             self._tell_news(),
-            quarantine=self._quarantine.note(),
-            limits=self._limits.notes(),
-            paces=self._paces.for_coordinator(coordinator),
+            quarantine=self._quarantine.make_update(),
+            limits=self._limits.updates(),
+            paces=self._paces.updates_for_coordinator(coordinator),
         )
         known = self._snapshot is not None and self._snapshot.coordinator == coordinator
         digest = self._snapshot.list_digest if self._snapshot is not None and known else 0
@@ -269,13 +269,13 @@
         self._shared.take(LoadNote(snapshot.coordinator, list(self._shares.values())), now)
         if snapshot.listed:
             self._has_replica_list = True
-            self._directory.update(as_instances(snapshot.listed), now)
+            self._directory.update(to_listed_instances(snapshot.listed), now)
         for replica, cold_s in snapshot.cold.items():
             self._directory.note_cold(replica, cold_s, now)
         self._take_news(snapshot.news)
-        self._quarantine.take(snapshot.quarantine)
-        self._limits.take(snapshot.limits)
-        self._paces.take_from_coordinator(snapshot.coordinator, snapshot.paces)
+        self._quarantine.apply_update(snapshot.quarantine)
+        self._limits.apply_updates(snapshot.limits)
+        self._paces.apply_from_coordinator(snapshot.coordinator, snapshot.paces)
         for replica, allowance in snapshot.allowances.items():
             state = self._book.state(replica)
             state.told_allowance, state.told_at = allowance, now
--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -68,25 +68,25 @@
         self._clock = clock
         self._recipients: OrderedDict[str, _Recipient] = OrderedDict()
 
-    def for_coordinator(self, name: str) -> list[PaceUpdate]:
+    def updates_for_coordinator(self, name: str) -> list[PaceUpdate]:
         """Return what this member tells the coordinator that it follows."""
         return self._notes(name, OWN_SOURCES)
 
-    def for_peers(self) -> list[PaceUpdate]:
+    def updates_for_peers(self) -> list[PaceUpdate]:
         """Return what this coordinator tells the others."""
         return self._notes(PEERS_KEY, PEER_SOURCES)
 
-    def for_member(self, name: str, new: bool = False) -> list[PaceUpdate]:
+    def updates_for_member(self, name: str, new: bool = False) -> list[PaceUpdate]:
         """Return what this coordinator tells a member, all of it to one that is new."""
         if new:
             self._recipients.pop(name, None)
         return self._notes(name, ALL_SOURCES)
 
-    def take_from_member(self, name: str, notes: Iterable[PaceUpdate]) -> None:
+    def apply_from_member(self, name: str, notes: Iterable[PaceUpdate]) -> None:
         """Take what a member tells."""
         self._apply(notes, PaceSource.MEMBER, name)
 
-    def take_from_coordinator(self, name: str, notes: Iterable[PaceUpdate]) -> None:
+    def apply_from_coordinator(self, name: str, notes: Iterable[PaceUpdate]) -> None:
         """Take what a coordinator tells, its members or the others."""
         self._apply(notes, PaceSource.COORDINATOR, name)
 
--- a/reachlink/coordination/_quarantine_exchange.py
+++ b/reachlink/coordination/_quarantine_exchange.py
@@ -84,11 +84,11 @@
         self._log: Any = get_logger()
 
     @property
-    def learned(self) -> bool:
+    def initial_sync_done(self) -> bool:
         """Whether what the others know was learned, or waited for in vain, or there are none."""
         return self._initial_sync_done or self._alone
 
-    def take_peers(self, addresses: list[str], alone: bool) -> None:
+    def set_peers(self, addresses: list[str], alone: bool) -> None:
         """Take the bus addresses of instances that can be asked.
 
         Parameters
@@ -102,21 +102,21 @@
         self._alone = alone
         self._peers_known.set()
 
-    def note(self) -> QuarantineNote:
+    def make_update(self) -> QuarantineNote:
         """Return what is told with a note to the others."""
         return self._quarantine.news(self._clock())
 
     @property
     def has_news(self) -> bool:
         """Whether there is something that others may not know yet."""
-        note = self.note()
+        note = self.make_update()
         return bool(note.crashes or note.clearances)
 
     def is_behind(self, note: QuarantineNote) -> bool:
         """Return whether this instance knows nothing, and who sent a note something."""
         return note.digest != 0 and self._quarantine.digest() == 0
 
-    def take(self, note: QuarantineNote) -> bool:
+    def apply_update(self, note: QuarantineNote) -> bool:
         """Take what came with a note of another instance; return whether some is news."""
         now = self._clock()
         news = self._quarantine.take(note, now)
--- a/reachlink/coordination/_replica_list.py
+++ b/reachlink/coordination/_replica_list.py
@@ -23,7 +23,7 @@
     ]
 
 
-def digest_of(listed: Iterable[ListedReplica]) -> int:
+def replica_list_digest(listed: Iterable[ListedReplica]) -> int:
     """Return a number that differs where the lists differ; never 0.
 
     How long replicas are cold is left out: that differs at every moment.
@@ -31,14 +31,15 @@
     Examples
     --------
     >>> one = ListedReplica("r1", "chat", "a", "r1:1", False)
-    >>> digest_of([one]) == digest_of([ListedReplica("r1", "chat", "a", "r1:1", True)])
+    >>> leaving = ListedReplica("r1", "chat", "a", "r1:1", True)
+    >>> replica_list_digest([one]) == replica_list_digest([leaving])
     False
     """
     lines = sorted(f"{r.name} {r.address} {r.leaving} {r.born}" for r in listed)
     return zlib.crc32("\n".join(lines).encode()) | 1 << 32
 
 
-def as_listed(instance: ListedInstance) -> ListedReplica:
+def to_listed_replica(instance: ListedInstance) -> ListedReplica:
     """Return one line of the platform's list as instances tell it."""
     return ListedReplica(
         name=instance.name,
@@ -51,7 +52,7 @@
     )
 
 
-def as_instances(listed: Iterable[ListedReplica]) -> list[ListedInstance]:
+def to_listed_instances(listed: Iterable[ListedReplica]) -> list[ListedInstance]:
     """Return what another instance has told as lines of the platform's list."""
     return [
         ListedInstance(
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -105,13 +105,13 @@
     network.now += 3.0
     assert one.pacing.limits.record_absence(ADDRESS, network.now, network.now)
     # What the other has heard before is void here.
-    one.limits.take(other.limits.notes())
+    one.limits.apply_updates(other.limits.updates())
     assert one.pacing.limits.get(ADDRESS) is None
     network.now += 1.0
     other.pacing.limits.record(ADDRESS, 5.0, network.now)
     network.now += 0.5
     for told in (one, third):
-        told.limits.take(other.limits.notes())
+        told.limits.apply_updates(other.limits.updates())
         limit = told.pacing.limits.get(ADDRESS)
         assert (limit.requests_per_s, network.now - limit.advertised_at) == pytest.approx(
             (5.0, 0.5)
@@ -127,18 +127,18 @@
     sent_at = network.now = network.now + 1.0
     network.now += 0.1
     assert one.pacing.limits.record_absence(ADDRESS, sent_at, network.now)
-    other.limits.take(one.limits.notes())
+    other.limits.apply_updates(one.limits.updates())
     assert other.pacing.limits.get(ADDRESS) is None
     # What was named since holds.
     third.pacing.limits.record(ADDRESS, PER_S, network.now)
-    third.limits.take(one.limits.notes())
+    third.limits.apply_updates(one.limits.updates())
     assert third.pacing.limits.get(ADDRESS) is not None
 
 
 def test_a_limit_that_was_not_named_for_long_is_not_told(fleet):
     one = fleet[0]
     one.network.now += exchange.MAX_NOTE_AGE_S
-    assert one.limits.notes() == []
+    assert one.limits.updates() == []
 
 
 def test_members_and_coordinators_tell_each_other():
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -25,9 +25,9 @@
 
 def to_peer(teller: Instance, listener: Instance) -> list[PaceUpdate]:
     """Pass on over the wire what one coordinator tells another."""
-    note = LoadNote(teller.record.name, [], paces=teller.paces.for_peers())
+    note = LoadNote(teller.record.name, [], paces=teller.paces.updates_for_peers())
     note = decode(encode(note), LoadNote)
-    listener.paces.take_from_coordinator(note.instance, note.paces)
+    listener.paces.apply_from_coordinator(note.instance, note.paces)
     return note.paces
 
 
@@ -68,9 +68,11 @@
         for _ in range(5):
             tell(m1, "r1", 1.2)
             network.now += 0.1
-            told.append((len(c1.paces.for_member("m2")), len(c1.paces.for_member("m1"))))
+            told.append(
+                (len(c1.paces.updates_for_member("m2")), len(c1.paces.updates_for_member("m1")))
+            )
             await m1.follow()
-        return told, c1.paces.for_member("m2")
+        return told, c1.paces.updates_for_member("m2")
 
     told, later = asyncio.run(play())
     assert told == [(0, 0), (1, 0), (0, 0), (0, 0), (0, 0)]
@@ -82,7 +84,7 @@
     tell(c1, "r1", 0.55)
     assert [note.replica for note in to_peer(c1, c2)] == ["r1"]
     assert to_peer(c2, c1) == []
-    assert [note.replica for note in c2.paces.for_member("m1")] == ["r1"]
+    assert [note.replica for note in c2.paces.updates_for_member("m1")] == ["r1"]
 
 
 def test_a_pace_that_changes_is_told_again():
@@ -99,7 +101,7 @@
 def test_a_lost_note_is_made_up_for():
     network, (c1, c2), _ = fleet()
     tell(c1, "r1", 0.55)
-    c1.paces.for_peers()
+    c1.paces.updates_for_peers()
     assert to_peer(c1, c2) == []
     network.now += RESEND_INTERVAL_S
     to_peer(c1, c2)
@@ -109,10 +111,10 @@
 def test_notes_that_overtake_each_other_leave_the_newest():
     network, (c1, c2), _ = fleet()
     for pace, age_ms in ((55, 1_000), (120, 5_000), (55, 1_000)):
-        c2.paces.take_from_coordinator("c1", [PaceUpdate("r1", pace, age_ms=age_ms)])
+        c2.paces.apply_from_coordinator("c1", [PaceUpdate("r1", pace, age_ms=age_ms)])
     assert steady(c2, "r1") == 0.55
     network.now += 3.0
-    c2.paces.take_from_coordinator("c3", [PaceUpdate("r1", 200, age_ms=9_000)])
+    c2.paces.apply_from_coordinator("c3", [PaceUpdate("r1", 200, age_ms=9_000)])
     assert c2.book.paces.pace("r1", network.now).age_s == pytest.approx(4.0)
 
 
@@ -121,10 +123,10 @@
     started: list[str] = []
     c1.directory.on_started_again(lambda name: (started.append(name), c1.book.start_again(name)))
     c1.directory.note_born("r1", 2_000, c1.clock())
-    c1.paces.take_from_coordinator("c2", [PaceUpdate("r1", 55, born=1_000)])
+    c1.paces.apply_from_coordinator("c2", [PaceUpdate("r1", 55, born=1_000)])
     assert (steady(c1, "r1"), started) == (1.0, [])
     tell(c1, "r1", 0.55)
-    c1.paces.take_from_coordinator("c2", [PaceUpdate("r1", 120, age_ms=500, born=3_000)])
+    c1.paces.apply_from_coordinator("c2", [PaceUpdate("r1", 120, age_ms=500, born=3_000)])
     assert (steady(c1, "r1"), started) == (1.2, ["r1"])
 
 
@@ -133,7 +135,7 @@
     for _ in range(5):
         network.now += 0.3
         tell(c2, "r1", 1.2)
-    c2.paces.take_from_coordinator("c1", [PaceUpdate("r1", 55)])
+    c2.paces.apply_from_coordinator("c1", [PaceUpdate("r1", 55)])
     assert steady(c2, "r1") == 1.2
 
 
@@ -154,7 +156,7 @@
     c1 = alone(*replicas)
     for replica in replicas:
         tell(c1, replica.name, 1.2)
-    first, second, third = (c1.paces.for_peers() for _ in range(3))
+    first, second, third = (c1.paces.updates_for_peers() for _ in range(3))
     assert (len(first), len(second), len(third)) == (MAX_NOTES, 5, 0)
     assert len({note.replica for note in first + second}) == MAX_NOTES + 5
     assert len(encode(first[0])) < 20
@@ -162,13 +164,13 @@
 
 def test_replicas_that_are_not_known_here_are_passed_over():
     c1 = alone()
-    c1.paces.take_from_member("m1", [PaceUpdate("r99", 55), PaceUpdate("r1", 55)])
+    c1.paces.apply_from_member("m1", [PaceUpdate("r99", 55), PaceUpdate("r1", 55)])
     assert (c1.book.paces.count, steady(c1, "r1")) == (1, 0.55)
 
 
 def test_figures_out_of_bounds_are_taken_into_them():
     c1 = alone()
-    c1.paces.take_from_member("m1", [PaceUpdate("r1", 10**9, 0, -100, -300, -5_000)])
+    c1.paces.apply_from_member("m1", [PaceUpdate("r1", 10**9, 0, -100, -300, -5_000)])
     pace = c1.book.paces.pace("r1", c1.clock())
     assert (pace.steady, pace.slow_factor, pace.slow_share, pace.age_s) == (8.0, 1.0, 0.0, 0.0)
 
@@ -176,7 +178,7 @@
 def test_memory_of_who_was_told_is_bounded():
     c1 = alone()
     for number in range(MAX_RECIPIENTS + 20):
-        c1.paces.for_member(f"m{number}")
+        c1.paces.updates_for_member(f"m{number}")
     assert len(c1.paces._recipients) == MAX_RECIPIENTS
 
 
@@ -194,7 +196,7 @@
 
     def notes() -> list[str]:
         c1.network.now += every_s
-        return [note.replica for note in c1.paces.for_member("m1")]
+        return [note.replica for note in c1.paces.updates_for_member("m1")]
 
     first = [name for _ in range(replicas // MAX_NOTES + 1) for name in notes()]
     assert set(first) == {replica.name for replica in listed}
--- a/reachlink/coordination/tests/test_quarantine_exchange.py
+++ b/reachlink/coordination/tests/test_quarantine_exchange.py
@@ -70,11 +70,11 @@
         network = Network()
         Instance(network, "e1")
         other = Instance(network, "e2")
-        other.crash_news.take_peers(["e1"], alone=False)
+        other.crash_news.set_peers(["e1"], alone=False)
         running = asyncio.create_task(other.crash_news.run())
         unlike = QuarantineNote(digest=12345)
         for _ in range(40):
-            other.crash_news.take(unlike)
+            other.crash_news.apply_update(unlike)
             network.now += 1.5
             await asyncio.sleep(0.02)
         running.cancel()
@@ -91,11 +91,11 @@
         old, new = Instance(network, "e1"), Instance(network, "e2")
         for number in range(3):
             crash(old, number)
-        assert not new.crash_news.learned
+        assert not new.crash_news.initial_sync_done
         running = asyncio.create_task(new.crash_news.run())
-        new.crash_news.take_peers(["e1"], alone=False)
+        new.crash_news.set_peers(["e1"], alone=False)
         async with asyncio.timeout(5.0):
-            while not new.crash_news.learned:
+            while not new.crash_news.initial_sync_done:
                 await asyncio.sleep(0.01)
         running.cancel()
         assert holds(new)
@@ -109,15 +109,15 @@
     async def work():
         network = Network()
         one, other = Instance(network, "e1"), Instance(network, "e2")
-        other.crash_news.take_peers(["e1"], alone=False)
+        other.crash_news.set_peers(["e1"], alone=False)
         running = asyncio.create_task(other.crash_news.run())
         for number in range(3):
             crash(one, number)
         # Told for long enough: notes have only the digest from here on.
         network.now += 10.0
         while not holds(other):
-            assert one.crash_news.note().crashes == []
-            other.crash_news.take(one.crash_news.note())
+            assert one.crash_news.make_update().crashes == []
+            other.crash_news.apply_update(one.crash_news.make_update())
             network.now += RESYNC_DELAY_S / 2.0
             await asyncio.sleep(0.05)
         running.cancel()
@@ -138,10 +138,10 @@
         network = Network()
         network.silent.add("e9")
         alone = Instance(network, "e1")
-        alone.crash_news.take_peers(peers, alone=False)
+        alone.crash_news.set_peers(peers, alone=False)
         running = asyncio.create_task(alone.crash_news.run())
         async with asyncio.timeout(5.0):
-            while not alone.crash_news.learned:
+            while not alone.crash_news.initial_sync_done:
                 network.now += 0.5
                 await asyncio.sleep(0.05)
         running.cancel()
@@ -158,12 +158,12 @@
         for one in (coordinator, member):
             one.list_replicas()
             one.update_roster(coordinator)
-        member.crash_news.take_peers(["e1"], alone=False)
-        coordinator.crash_news.take_peers([], alone=False)
+        member.crash_news.set_peers(["e1"], alone=False)
+        coordinator.crash_news.set_peers([], alone=False)
         for number in range(3):
             crash(member, number)
         network.now += 10.0
-        assert not coordinator.crash_news.learned
+        assert not coordinator.crash_news.initial_sync_done
         running = asyncio.create_task(member.crash_news.run())
         async with asyncio.timeout(5.0):
             while not holds(coordinator):
@@ -202,11 +202,11 @@
             one.update_roster(coordinator)
         crash(member, 1)
         network.now += 10.0
-        coordinator.crash_news.take_peers([], alone=False)
-        member.crash_news.take_peers(["e1"], alone=False)
+        coordinator.crash_news.set_peers([], alone=False)
+        member.crash_news.set_peers(["e1"], alone=False)
         running = [asyncio.create_task(one.crash_news.run()) for one in (coordinator, member)]
         async with asyncio.timeout(5.0):
-            while not coordinator.crash_news.learned:
+            while not coordinator.crash_news.initial_sync_done:
                 await member.follow()
                 await asyncio.sleep(0.02)
         for task in running:
--- a/reachlink/entry/_daemon.py
+++ b/reachlink/entry/_daemon.py
@@ -177,16 +177,16 @@
         self._node.wards.take(decode(body, CarriedReport))
 
     async def _on_crashes(self, sender: str, body: bytes) -> None:
-        self._node.crash_news.take(decode(body, QuarantineNote))
+        self._node.crash_news.apply_update(decode(body, QuarantineNote))
 
     async def _on_limits(self, sender: str, body: bytes) -> None:
-        self._node.limits.take(decode(body, list[LimitUpdate]))
+        self._node.limits.apply_updates(decode(body, list[LimitUpdate]))
 
     async def _on_digest(self, sender: str, body: bytes) -> None:
         digest = decode(body, Digest)
         self._node.take_digest(digest)
-        self._node.crash_news.take(digest.quarantine)
-        self._node.limits.take(digest.limits)
+        self._node.crash_news.apply_update(digest.quarantine)
+        self._node.limits.apply_updates(digest.limits)
         if digest.revision > self._node.tree.revision:
             addresses = [p.address for p in self._config.peers if p.name == digest.instance]
             for address in addresses:
@@ -270,7 +270,7 @@
             # Without it every request would be refused for want of a replica.
             reason = "the platform's list was not read yet"
             return json_response({"ready": False, "reason": reason}, 503)
-        if not node.crash_news.learned:
+        if not node.crash_news.initial_sync_done:
             reason = "what the others know of crashes was not learned yet"
             return json_response({"ready": False, "reason": reason}, 503)
         return json_response({"ready": True, "revision": node.tree.revision})
--- a/reachlink/entry/_list_news.py
+++ b/reachlink/entry/_list_news.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable, Iterable
 
-from reachlink.coordination import as_instances, as_listed
+from reachlink.coordination import to_listed_instances, to_listed_replica
 from reachlink.kernel import steady_time
 from reachlink.membership import ListedInstance, ReplicaDirectory
 from reachlink.requests import ListedReplica
@@ -43,7 +43,7 @@
 
     def tell(self, found: Iterable[ListedInstance]) -> None:
         """Tell the others what a reading here has found."""
-        items = [(self._clock(), as_listed(instance)) for instance in found]
+        items = [(self._clock(), to_listed_replica(instance)) for instance in found]
         if items:
             self._found.extend(items)
             self._on_news()
@@ -56,4 +56,4 @@
 
     def take(self, listed: Iterable[ListedReplica]) -> None:
         """Take what another instance has found."""
-        self._directory.hear(as_instances(listed), self._clock())
+        self._directory.hear(to_listed_instances(listed), self._clock())
--- a/reachlink/entry/_load_teller.py
+++ b/reachlink/entry/_load_teller.py
@@ -129,9 +129,9 @@
             shares=self._shares(),
             news=self._reports.news(),
             listed=self._listed.recent(),
-            quarantine=self._quarantine.note(),
-            limits=self._limits.notes(),
-            paces=self._paces.for_peers(),
+            quarantine=self._quarantine.make_update(),
+            limits=self._limits.updates(),
+            paces=self._paces.updates_for_peers(),
         )
 
     async def _on_note(self, sender: str, body: bytes) -> None:
@@ -139,6 +139,6 @@
         self._shared.take(note, self._clock())
         self._reports.take(note.news)
         self._listed.take(note.listed)
-        self._quarantine.take(note.quarantine)
-        self._limits.take(note.limits)
-        self._paces.take_from_coordinator(note.instance, note.paces)
+        self._quarantine.apply_update(note.quarantine)
+        self._limits.apply_updates(note.limits)
+        self._paces.apply_from_coordinator(note.instance, note.paces)
--- a/reachlink/entry/_node.py
+++ b/reachlink/entry/_node.py
@@ -93,7 +93,7 @@
         records = [InstanceRecord(p.name, p.address, p.availability_zone) for p in config.peers]
         self.limits.update_roster([*records, self._record()], len(records) + 1)
         self.directory.on_started_again(self._on_started_again)
-        self.crash_news.take_peers([p.address for p in config.peers], alone=not config.peers)
+        self.crash_news.set_peers([p.address for p in config.peers], alone=not config.peers)
         self.quarantine.listen(self._tell_crashes)
         self.metrics = EntryMetrics(config)
         self.metrics.export_held(lambda: len(self.quarantine.held(steady_time())))
@@ -235,11 +235,11 @@
 
     def _tell_crashes(self) -> None:
         """Tell the others at once: a digest a second is too late for the next try."""
-        self.tell_peers(CHANNEL_CRASHES, encode(self.crash_news.note()))
+        self.tell_peers(CHANNEL_CRASHES, encode(self.crash_news.make_update()))
 
     def _tell_limits(self) -> None:
         """Tell the others at once: until a digest they would send on as usual."""
-        self.tell_peers(CHANNEL_LIMITS, encode(self.limits.notes()))
+        self.tell_peers(CHANNEL_LIMITS, encode(self.limits.updates()))
 
     def _record(self) -> InstanceRecord:
         return InstanceRecord(self.name, self.address, self.zone)
@@ -267,8 +267,8 @@
             self.ready,
             loads,
             demands,
-            self.crash_news.note(),
-            self.limits.notes(),
+            self.crash_news.make_update(),
+            self.limits.updates(),
         )
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
--- a/reachlink/entry/_relay_daemon.py
+++ b/reachlink/entry/_relay_daemon.py
@@ -143,7 +143,7 @@
             return "no routing table was published yet"
         if not self._reader.has_read:
             return "the platform's list was not read yet"
-        if not node.crash_news.learned:
+        if not node.crash_news.initial_sync_done:
             return "what the others know of crashes was not learned yet"
         if unserved := node.unserved():
             return f"the zone is cut off without a replica of {unserved}"
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -353,7 +353,7 @@
         self.coordinator.set_coordinating(not member and bool(coordinators))
         self._isolation.take_peers(peers, steady_time())
         others = [c.address for c in coordinators if c.name != self.name]
-        self.crash_news.take_peers(others, alone=self._instances <= 1)
+        self.crash_news.set_peers(others, alone=self._instances <= 1)
         self.limits.update_roster(coordinators, self._instances)
         self._forget_the_gone()
         if coordinators:
