--- a/reachlink/coordination/__init__.py
+++ b/reachlink/coordination/__init__.py
@@ -1,9 +1,10 @@
-"""Coordinators of placement, and the members that follow them.
+"""Coordinators, which place requests at replicas, and members, which ask them.
 
-Up to some size every entry instance tells every other what it has at the replicas,
-and decides by itself: all are coordinators. Beyond it a few are, which know that of
-each other; every other instance is a member: it tells one coordinator what it has,
-asks it where a request should go, and is told the rest.
+In a small deployment every entry instance is a coordinator: it sends its load at the
+replicas to all others and places its requests itself. Above a configured size only a few
+instances are coordinators, which exchange the load of themselves and their members. Every
+other instance is a member: it sends its load to one coordinator, asks it where to place each
+request, and receives the load of all others from it.
 """
 
 import warnings
@@ -28,7 +29,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Return what is known by its new name."""
+    """Return `CallerRetryLedger` for its deprecated name ``ReturnDesk``."""
     if name != "ReturnDesk":
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     warnings.warn("ReturnDesk is now CallerRetryLedger", DeprecationWarning, stacklevel=2)
--- a/reachlink/coordination/_asking.py
+++ b/reachlink/coordination/_asking.py
@@ -1,4 +1,4 @@
-"""Asking one instance after the other where a request should go."""
+"""Queries to one instance after the other for the placement of a request."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from itertools import islice
@@ -6,10 +6,10 @@
 from reachlink.membership import InstanceRecord
 from reachlink.requests import PlaceAnswer
 
-# How long an answer to a question may take, in seconds: some 3 ms within a zone,
-# and what a coordinator that is busy or just starting takes. Then the next is asked.
+# Timeout of a placement query in seconds; then the next instance is asked. A reply takes about
+# 3 ms within a zone, and longer from a coordinator that is busy or just starting.
 ANSWER_TIMEOUT_S = 0.15
-# How many instances are asked before this one decides by itself.
+# Number of instances that are asked before this one decides by itself.
 MAX_ASKED = 2
 
 
@@ -17,22 +17,23 @@
     instances: Iterable[InstanceRecord],
     ask: Callable[[InstanceRecord], Awaitable[PlaceAnswer | None]],
 ) -> tuple[PlaceAnswer | None, InstanceRecord | None]:
-    """Return the first answer of one that has listened for long enough to decide.
+    """Return the first reply of an instance that is ready to decide.
 
     Parameters
     ----------
     instances : iterable of InstanceRecord
-        Whom to ask, in this order; `ASKED` of them at the most.
+        Instances to ask, in this order; only the first `MAX_ASKED` are asked.
     ask : callable
-        Returns the answer of one of them; None where it is silent.
+        Coroutine function that returns the reply of one instance, or None if it does not
+        reply.
 
     Returns
     -------
     answer : PlaceAnswer or None
-        The answer; None where none has listened for long enough.
-    unsettled : InstanceRecord or None
-        The first that answered but has just started, in that case: it decides where no other
-        does, and only where the question insists.
+        The reply, or None if no ready instance replied.
+    not_ready : InstanceRecord or None
+        The first instance that replied but is not ready, if no ready instance replied. It
+        decides only if the query forces it to.
     """
     unsettled: InstanceRecord | None = None
     for instance in islice(instances, MAX_ASKED):
--- a/reachlink/coordination/_caller_retry_ledger.py
+++ b/reachlink/coordination/_caller_retry_ledger.py
@@ -1,4 +1,4 @@
-"""Where the owner of a line knows who comes back, tells who is refused, and logs both."""
+"""Reservations of a queue's owner for the retries of refused callers, with their log events."""
 
 from collections.abc import Callable
 from typing import Any
@@ -17,22 +17,22 @@
 )
 from reachlink.telemetry import get_logger
 
-# Lines that are logged a second at the most; the next tells how many were left out.
+# Most log lines in a second; the next line has the number of lines that were omitted.
 MAX_LOG_LINES_PER_S = 20
 
 
 class CallerRetryLedger:
-    """Keeps the promises of a line to those whom it refuses.
+    """Keeps and logs the reservations for the retries of callers that a queue refused.
 
     Parameters
     ----------
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
 
     Attributes
     ----------
     book : CallerRetryRegistry
-        The promises.
+        Reservations for retries.
     """
 
     def __init__(self, clock: Callable[[], float] = steady_time) -> None:
@@ -44,12 +44,12 @@
         self._log: Any = get_logger()
 
     def on_arrival(self, question: PlaceQuestion) -> tuple[Need, RetryReservation | None]:
-        """Return what a request needs that arrives, and what it had been promised.
+        """Return the need of a request that arrives, and the reservation that it claims.
 
         Parameters
         ----------
         question : PlaceQuestion
-            The question about it.
+            First query about the request.
         """
         now = self._clock()
         need = question.need or Need(tokens=question.tokens)
@@ -76,20 +76,20 @@
         start: Start,
         line: QueueState,
     ) -> Start:
-        """Note what was decided, on arrival or after a wait, and return what is told.
+        """Record a decision, on arrival or after a wait, and return it as the caller gets it.
 
         Parameters
         ----------
         question : PlaceQuestion
-            The question.
+            Query about the request.
         need : Need
-            What the request needs, as `arrive` returned.
+            Need of the request, as `on_arrival` returned it.
         promise : RetryReservation or None
-            What it had been promised, as `arrive` returned.
+            Reservation that the request claimed, as `on_arrival` returned it.
         start : Start
-            What was decided.
+            Decision.
         line : QueueState
-            What stood between it and room.
+            State of the queue ahead of the request.
         """
         told = self.book.record_outcome(
             promise, question.fingerprint, question.service, need, start, self._clock()
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -1,4 +1,4 @@
-"""A coordinator: knows what its members have at the replicas, and places for them."""
+"""A coordinator, which knows the load of its members and places their requests."""
 
 import asyncio
 from collections.abc import Callable, Iterable, Set
@@ -37,63 +37,63 @@
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import Replica
 
-# How long a coordinator listens before it decides, in seconds: every member and
-# every other coordinator tells its load once a second at least.
+# Time after the start until a coordinator decides, in seconds: every member and every other
+# coordinator sends its load at least once a second.
 READY_AFTER_S = 1.2
-# A member that tells nothing for this long is none any more, in seconds.
+# Time after its last update until a member no longer counts as one, in seconds.
 MEMBER_TIMEOUT_S = 3.0
-# How long after a replica was found to leave members are told of its report, in seconds.
+# Time after a replica was found to be leaving for which members receive its report, in seconds.
 LEAVING_REPORTED_S = 5.0
 
 
 class ZoneReach(Protocol):
-    """Which zones can be reached from this instance."""
+    """Reachability of the other zones from this instance."""
 
     @property
     def silent_zones(self) -> Set[str]:
-        """Zones that it seems to be cut off from."""
+        """Zones that this instance seems to be cut off from."""
 
     @property
     def cut_off(self) -> bool:
-        """Whether these are all other zones."""
+        """Whether this instance seems to be cut off from all other zones."""
 
 
 class Coordinator:
-    """Answers members.
+    """Receives the updates of its members and replies to their placement queries.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     bus : Bus
-        Where members' notes and questions come in.
-    book : ReplicaBook
-        What is known of the replicas.
-    shared : SharedLoad
-        What all others have there: other coordinators with their members, and the
-        members here.
+        Message bus on which the members' updates and queries arrive.
+    book : ReplicaTracker
+        Load and health of the replicas as seen by this instance.
+    shared : PeerLoad
+        Load of all other instances: the other coordinators with their members, and the
+        members of this one.
     directory : ReplicaDirectory
-        The replicas.
-    placing : Placing
-        Decides.
+        Replicas that exist.
+    placing : Placer
+        Chooses the replica for a request.
     services : callable
-        Returns the model engines' services.
+        Returns the services that are served by model engines.
     take_news : callable
-        Takes what a member found out.
+        Called with the replica reports that a member has read.
     quarantine : QuarantineExchange
-        What the instances tell each other of crashes.
+        Exchange of crashes between the instances.
     limits : LimitExchange
-        What the instances tell each other of limits that replicas name.
+        Exchange of the rate limits that replicas advertise.
     paces : PaceExchange
-        What the instances tell each other of replicas' pace.
+        Exchange of the replicas' pace.
     reach : callable
         Returns which zones can be reached.
     random : random.Random
         Source of jitter.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     queue_owner : QueueOwner, optional
-        Keeps requests in line that find no room; None where none stands in line.
+        Owner of the queues of requests that find no room; None if requests are not queued.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         self._random = random
         self._clock = clock
         self._members: dict[str, float] = {}
-        # Since when this instance coordinates, in monotonic seconds.
+        # Monotonic time in seconds at which this instance became a coordinator.
         self._coordinating_since: float | None = None
         self._news_event = asyncio.Event()
         self._log: Any = get_logger()
@@ -138,7 +138,7 @@
         bus.handle(CHANNEL_QUEUE_LEFT, self._on_left)
 
     def set_coordinating(self, coordinates: bool) -> None:
-        """Take whether this instance coordinates from now on."""
+        """Set whether this instance is a coordinator."""
         if not coordinates:
             self._coordinating_since = None
         elif self._coordinating_since is None:
@@ -146,14 +146,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it coordinates, has a list, and has listened for long enough to decide."""
+        """Whether this is a coordinator that has the replica list and the load of the others."""
         if self._coordinating_since is None or not self._directory.is_whole:
             return False
         return self._clock() - self._coordinating_since >= READY_AFTER_S
 
     @property
     def members(self) -> list[str]:
-        """The instances that follow this one."""
+        """Names of the instances that follow this one."""
         oldest = self._clock() - MEMBER_TIMEOUT_S
         for name in [n for n, at in self._members.items() if at < oldest]:
             del self._members[name]
@@ -161,7 +161,7 @@
         return list(self._members)
 
     def add_member_shares(self, own: list[ReplicaShare]) -> list[ReplicaShare]:
-        """Return own shares together with those of all members, for other coordinators."""
+        """Return the sum of this instance's load and its members', for other coordinators."""
         members = self.members
         if not members:
             return own
@@ -172,7 +172,7 @@
         return [total(shares) for shares in found.values()]
 
     def notify_members(self) -> None:
-        """Give members that wait for news a snapshot now: a replica leaves, a zone is cut off."""
+        """Send members a snapshot at once, as a replica is leaving or a zone is cut off."""
         self._news_event.set()
         self._news_event = asyncio.Event()
         if self._queue_owner is not None:
@@ -182,11 +182,11 @@
         note = decode(body, MemberUpdate)
         self._apply_update(note)
         if note.wait_s <= 0.0:
-            # Told unasked: something has begun or ended, and nobody waits.
+            # One-way update about requests that have started or ended: no reply is expected.
             self._book.touch()
             return b""
-        # One that asks just after the others were woken must not wait for the next news,
-        # nor one that can tell what is not known here.
+        # A member whose update arrives just after the others were notified must not wait for
+        # the next news, nor one that knows of crashes that are not known here.
         behind = self._quarantine.is_behind(note.load.quarantine)
         if not behind and not self._quarantine.has_news:
             await self._wait_for_news(note.wait_s)
@@ -197,7 +197,7 @@
             async with asyncio.timeout(wait_s):
                 await self._news_event.wait()
         except TimeoutError:
-            # Nothing happened meanwhile: the member gets the usual snapshot.
+            # No news in this time: the member gets a regular snapshot.
             return
 
     def _apply_update(self, note: MemberUpdate) -> None:
@@ -218,7 +218,7 @@
 
     async def _on_question(self, sender: str, body: bytes) -> bytes:
         question = decode(body, PlaceQuestion)
-        # Without a list it would say that there is no room.
+        # Without a replica list the reply would be that there is no room.
         insists = question.insist and self._directory.is_whole
         if not self.ready and not insists:
             return encode(PlaceAnswer(settled=False))
@@ -252,7 +252,7 @@
         present = {share.replica for share in note.load.shares}
         told = [r for r in replicas if note.whole or r.name in present]
         listed = listed_replicas(self._directory, self._clock())
-        # Before the first list a member may know more.
+        # Before this instance has read the list, a member may know more replicas than it.
         whole = self._directory.is_whole
         digest = replica_list_digest(listed) if whole else 0
         reach = self._reach()
@@ -273,7 +273,10 @@
         )
 
     def _engine_replicas(self, service: str) -> list[Replica]:
-        """Return the replicas that stay or left lately: generations still run at these."""
+        """Return the replicas of a service, with those that have been leaving for a short time.
+
+        Generations still run at replicas that are leaving.
+        """
         since = self._clock() - LEAVING_REPORTED_S
         names = self._directory.leaving(service, since)
         leaving = [r for r in map(self._directory.find, names) if r is not None]
@@ -283,7 +286,7 @@
     def _shares_for(
         self, member: str, replicas: list[Replica], present: Set[str]
     ) -> list[ReplicaShare]:
-        """Return what all but one member have at each replica."""
+        """Return the load of all instances but one member at each replica."""
         now = self._clock()
         own = {share.replica: share for share in self._book.shares(now)}
         found = []
--- a/reachlink/coordination/_coordinator_selector.py
+++ b/reachlink/coordination/_coordinator_selector.py
@@ -1,4 +1,4 @@
-"""Which coordinator an instance follows; pure."""
+"""Selection of the coordinator that an instance follows; does no I/O."""
 
 import hashlib
 from collections.abc import Iterable, Set
@@ -6,18 +6,18 @@
 from reachlink.membership import InstanceRecord
 from reachlink.pacing import rendezvous_order
 
-# How long a coordinator that did not answer is left aside, in seconds: half of
-# what the roster takes to drop one that is gone.
+# Time for which a coordinator that did not reply goes to the end of the order, in seconds: half
+# of the time after which the roster drops an instance that is gone.
 RETRY_AFTER_SILENCE_S = 2.0
 
 
 class CoordinatorSelector:
-    """Chooses among the coordinators, the same one as long as it answers.
+    """Orders the coordinators by preference; the first stays the same while it replies.
 
     Parameters
     ----------
     name, zone : str
-        This instance, and its availability zone.
+        Name and availability zone of this instance.
 
     Examples
     --------
@@ -40,33 +40,34 @@
 
     @property
     def coordinators(self) -> list[InstanceRecord]:
-        """All coordinators, this instance included if it is one."""
+        """All coordinators, including this instance if it is one."""
         return self._coordinators
 
     @property
     def is_member(self) -> bool:
-        """Whether this instance follows a coordinator, being none itself."""
+        """Whether this instance is no coordinator and there is one to follow."""
         names = {record.name for record in self._coordinators}
         return bool(names) and self._name not in names
 
     def set_coordinators(self, coordinators: Iterable[InstanceRecord]) -> None:
-        """Take the coordinators that there are, in order of preference from now on.
+        """Replace the list of coordinators.
 
-        Those of this zone go first; among equals the order differs by member, so
-        that members spread over them.
+        Coordinators in this zone are preferred. Among equals the order differs between
+        members, so that members spread over the coordinators.
         """
         self._coordinators = sorted(coordinators, key=self._preference, reverse=True)
         names = {record.name for record in self._coordinators}
         self._avoided_until = {n: t for n, t in self._avoided_until.items() if n in names}
 
     def by_preference(self, now: float) -> list[InstanceRecord]:
-        """Return the coordinators, those that answer first, in order of preference."""
+        """Return the coordinators by preference, those that did not reply lately last."""
         return sorted(self._coordinators, key=lambda c: self._avoided_until.get(c.name, 0.0) > now)
 
     def owners(self, service: str, now: float) -> list[InstanceRecord]:
-        """Return who keeps the line of a service in this zone, and who takes over from whom.
+        """Return the owner of a service's queue in this zone, followed by its successors.
 
-        All instances of a zone name the same one, unless it does not answer them.
+        All instances of a zone have the same owner first, except those to which it did not
+        reply lately.
         """
         near = [c for c in self._coordinators if c.availability_zone == self._zone]
         return self._by_rank(near or self._coordinators, service, now)
@@ -74,16 +75,16 @@
     def owners_over_zones(
         self, service: str, now: float, silent_zones: Set[str]
     ) -> list[InstanceRecord]:
-        """Return who keeps the one line of all zones in reach, then who does in this one.
+        """Return the owner of the queue of all reachable zones, then the owners in this zone.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
         now : float
             Monotonic time in seconds.
         silent_zones : set of str
-            Zones that this one seems to be cut off from.
+            Zones that this zone seems to be cut off from.
         """
         reached = [c for c in self._coordinators if c.availability_zone not in silent_zones]
         first = self._by_rank(reached, service, now)[:1]
@@ -97,7 +98,7 @@
         return sorted(found, key=lambda c: self._avoided_until.get(c.name, 0.0) > now)
 
     def mark_silent(self, coordinator: str, now: float) -> None:
-        """Note that a coordinator did not answer."""
+        """Record that a coordinator did not reply."""
         self._avoided_until[coordinator] = now + RETRY_AFTER_SILENCE_S
 
     def _preference(self, record: InstanceRecord) -> tuple[bool, bytes]:
--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -1,4 +1,4 @@
-"""How the instances grant together what a replica takes from all of them."""
+"""Sharing of the rate limits of replicas between the instances."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -21,39 +21,39 @@
 )
 from reachlink.telemetry import get_logger
 
-# How long an answer may take, in seconds: some milliseconds within a region. A request
-# waits for it.
+# Timeout of a permit query in seconds; a request waits for the reply. Replies take a few
+# milliseconds within a region.
 ANSWER_TIMEOUT_S = 0.1
-# How many instances are asked before this one decides alone: one, and who takes over.
+# Number of instances that are asked before this one decides alone: the owner and its successor.
 MAX_ASKED = 2
-# How long one that did not answer is not asked, in seconds.
+# Time for which an instance that did not reply is not asked, in seconds.
 RETRY_AFTER_SILENCE_S = 1.0
-# Limits that were named longer ago than this are not told, in seconds: a replica that gets
-# a request in ten seconds at the least names its limit more often.
+# Limits that were advertised longer ago than this are not sent, in seconds: a replica that gets
+# at least one request in ten seconds advertises its limit more often.
 MAX_NOTE_AGE_S = 30.0
 
 
 class LimitExchange(LimitGate):
-    """Asks who owns a replica's limit, answers where this instance does, and tells limits.
+    """Gets permits from the owner of a replica's limit, grants them as owner, and sends limits.
 
     Parameters
     ----------
     name : str
-        This instance.
+        Name of this instance.
     bus : Bus
-        Speaks with the others.
+        Message bus to the other instances.
     book : LimitTracker
-        What this instance knows of limits.
+        Limits that are known to this instance.
     directory : ReplicaDirectory
         Names and addresses of replicas.
     heard_at : callable
-        Returns when another instance was heard last, in monotonic seconds.
+        Returns the monotonic time in seconds of the last update from another instance.
     random : random.Random
-        Spreads what is sent by instances that decide alone.
+        Spreads the requests of instances that decide alone.
     count : callable
-        Is told how each question ended: ``"granted"``, ``"refused"`` or ``"alone"``.
+        Called with the outcome of each query: ``"granted"``, ``"refused"`` or ``"alone"``.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -76,19 +76,19 @@
         self._clock = clock
         self._addresses: dict[str, str] = {}
         self._avoided_until: dict[str, float] = {}
-        # Which part of limits this instance granted last.
+        # Share of the limits that this instance granted last.
         self._last_share = 0.0
         bus.handle(CHANNEL_LIMIT, self._on_question)
         self._log: Any = get_logger()
 
     def update_roster(self, owners: Iterable[InstanceRecord], instances: int) -> None:
-        """Take who may own limits, and how many instances there are."""
+        """Set the instances that may own limits, and the number of all instances."""
         self._addresses = {record.name: record.address for record in owners}
         self._avoided_until.clear()
         self._sharing.update_roster(self._addresses, instances, self._clock())
 
     async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
-        """Return when one more request may be sent; see `LimitGate`."""
+        """Return the time until one more request may be sent; see `LimitGate`."""
         question = PermitQuery(
             self._directory.name_at(address) or address,
             limit.requests_per_s,
@@ -105,7 +105,7 @@
         return wait_s
 
     def updates(self) -> list[LimitUpdate]:
-        """Return what others should know of limits."""
+        """Return the limits that the other instances should know."""
         now = self._clock()
         said: dict[str, tuple[float | None, float]] = {
             address: (None, at) for address, at in self._book.recently_ended().items()
@@ -119,7 +119,7 @@
         ]
 
     def apply_updates(self, notes: Iterable[LimitUpdate]) -> None:
-        """Take what another instance tells of limits."""
+        """Apply the limits that another instance has sent."""
         now = self._clock()
         for note in notes:
             replica = self._directory.find(note.replica)
@@ -136,7 +136,7 @@
                 )
 
     async def _ask_owners(self, question: PermitQuery) -> float | None:
-        """Return what the limit's owner says; None where nobody does that is reached."""
+        """Return the wait granted by the owner of the limit, or None if no owner is reached."""
         for name in self._sharing.owners(question.replica)[:MAX_ASKED]:
             if name == self._name:
                 answer: PermitReply | None = self._answer(question)
@@ -179,9 +179,10 @@
 
 
 def _retry_delay_s(wait_s: float, patience_s: float) -> float:
-    """Return when to come back for a permit that an instance on its own has only much later.
+    """Return the time until a permit, or until it is worth asking for one again.
 
-    By then the limit has an owner again, or another instance that callers come to does.
+    Without an owner a permit may be far in the future. After `PEER_SILENCE_TIMEOUT_S` the limit
+    has an owner again, or another instance that callers reach has one.
     """
     if wait_s <= patience_s:
         return wait_s
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -1,4 +1,4 @@
-"""A member: an instance that follows a coordinator and asks it where requests should go."""
+"""A member: an instance that follows a coordinator and asks it to place its requests."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -33,58 +33,58 @@
 )
 from reachlink.telemetry import get_logger
 
-# How long the answer to a note may be held while this instance has requests at
-# model engines, and while it has none, in seconds.
+# Time for which the reply to an update may be held while this instance has requests at model
+# engines, and while it has none, in seconds.
 BUSY_WAIT_S = 0.25
 IDLE_WAIT_S = 1.0
-# The same before the first snapshot of a coordinator, in seconds: an instance that
-# starts is not ready without the list of replicas.
+# The same before the first snapshot from a coordinator, in seconds: an instance that starts is
+# not ready without the list of replicas.
 FIRST_WAIT_S = 0.01
-# How much longer such an answer may take, in seconds.
+# Time added to it for the timeout of the reply, in seconds.
 WAIT_MARGIN_S = 0.3
-# Shortest time between two notes of changes, and between two notes with snapshots, in
-# seconds: a coordinator that has not read the list yet is asked again soon.
+# Shortest time between two one-way updates, and between two updates that are answered with a
+# snapshot, in seconds. A coordinator that has not read the replica list yet is soon asked again.
 MIN_SEND_INTERVAL_S = 0.03
 MIN_POLL_INTERVAL_S = 0.1
-# Time between two snapshots of all replicas, in seconds; those between tell only of
-# replicas where this instance has something, in a third of the bytes. Others are looked at
-# only to ask in vain less often.
+# Time between two snapshots of all replicas, in seconds. Those in between contain only the
+# replicas where this instance has allocations, in a third of the bytes. The load of the others
+# only serves to avoid queries that would find no room.
 FULL_SNAPSHOT_INTERVAL_S = 0.9
-# A snapshot older than this says nothing any more, in seconds.
+# Age in seconds above which a snapshot is no longer valid.
 MAX_SNAPSHOT_AGE_S = 2.5
 
 
 class Member:
-    """Follows one coordinator after the other, as they answer.
+    """Follows the preferred coordinator, and the next one if it does not reply.
 
     Parameters
     ----------
     selector : CoordinatorSelector
-        Chooses the coordinator.
+        Orders the coordinators by preference.
     name : str
-        This instance.
+        Name of this instance.
     bus : Bus
-        Speaks with coordinators.
-    book : ReplicaBook
-        This instance's requests.
-    shared : SharedLoad
-        Where what the others have is noted.
+        Message bus to the coordinators.
+    book : ReplicaTracker
+        Allocations of this instance at the replicas.
+    shared : PeerLoad
+        Load of the other instances, updated from the snapshots.
     directory : ReplicaDirectory
-        Where the list of replicas is noted.
+        Replicas that exist, updated from the snapshots.
     take_news : callable
-        Takes what was read in reports.
+        Called with the replica reports in a snapshot.
     tell_news : callable
-        Returns what this instance found out itself.
+        Returns the replica reports that this instance has read itself.
     quarantine : QuarantineExchange
-        What the instances tell each other of crashes.
+        Exchange of crashes between the instances.
     limits : LimitExchange
-        What the instances tell each other of limits that replicas name.
+        Exchange of the rate limits that replicas advertise.
     paces : PaceExchange
-        What the instances tell each other of replicas' pace.
+        Exchange of the replicas' pace.
     count : callable
-        Is told how each question ended: ``"placed"``, ``"no_room"`` or ``"silent"``.
+        Called with the outcome of each query: ``"placed"``, ``"no_room"`` or ``"silent"``.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -120,7 +120,8 @@
         self._snapshot: CoordinatorSnapshot | None = None
         self._snapshot_at = float("-inf")
         self._has_replica_list = False
-        # What the coordinator told of each replica last, and when of all of them.
+        # Latest load of each replica that the coordinator sent, and the monotonic time in seconds
+        # of its last snapshot of all replicas.
         self._shares: dict[str, ReplicaShare] = {}
         self._full_snapshot_at = float("-inf")
         self._changed = asyncio.Event()
@@ -131,22 +132,22 @@
 
     @property
     def coordinator_snapshot(self) -> CoordinatorSnapshot | None:
-        """What the coordinator said last; None where that is too long ago."""
+        """Latest snapshot from the coordinator; None if it is too old."""
         if self._clock() - self._snapshot_at > MAX_SNAPSHOT_AGE_S:
             return None
         return self._snapshot
 
     @property
     def has_replica_list(self) -> bool:
-        """Whether a coordinator keeps the list of replicas up to date here."""
+        """Whether a coordinator keeps this instance's list of replicas up to date."""
         return self._has_replica_list and self.coordinator_snapshot is not None
 
     def use_queue(self, queue_client: QueueClient) -> None:
-        """Have requests stand in line that find no room, from now on."""
+        """Queue requests that find no room from now on."""
         self._queue_client = queue_client
 
     def update_roster(self, coordinators: Iterable[InstanceRecord]) -> None:
-        """Take the coordinators that there are, and close connections to those that were."""
+        """Set the coordinators, and close the connections to those that are gone."""
         before = {record.address for record in self._selector.coordinators}
         self._selector.set_coordinators(coordinators)
         for address in before - {record.address for record in self._selector.coordinators}:
@@ -157,9 +158,9 @@
             self._is_member.clear()
 
     async def ask(self, question: PlaceQuestion) -> PlaceAnswer | None:
-        """Return what a coordinator decides; None where this instance should.
+        """Return the decision of a coordinator; None if this instance should decide itself.
 
-        One that has just started knows little: it decides only where no other does.
+        A coordinator that has just started knows little and decides only if no other does.
         """
         if self._queue_client is not None and question.in_line:
             return await self._queue_client.ask(structs.replace(question, instance=self._name))
@@ -200,11 +201,11 @@
         self._log.info("coordinator_silent", coordinator=coordinator.name, reason=reason)
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Exchange updates and snapshots with the coordinator until cancelled."""
         await asyncio.gather(self._poll(), self._send_changes())
 
     async def _poll(self) -> None:
-        """Have the snapshot kept up to date."""
+        """Keep the snapshot up to date by long polling."""
         while True:
             await self._is_member.wait()
             coordinator = self._selector.by_preference(self._clock())[0]
@@ -224,14 +225,14 @@
             self._note_silence(coordinator, str(error))
 
     def _wait_s(self, coordinator: InstanceRecord) -> float:
-        """Return how long the answer to a note may be held, in seconds."""
+        """Return the time for which the reply to an update may be held, in seconds."""
         snapshot = self.coordinator_snapshot
         if snapshot is None or snapshot.coordinator != coordinator.name:
             return FIRST_WAIT_S
         return BUSY_WAIT_S if self._book.carrying() else IDLE_WAIT_S
 
     async def _send_changes(self) -> None:
-        """Tell of each change at once."""
+        """Send an update after each change without waiting for a reply."""
         while True:
             await self._changed.wait()
             self._changed.clear()
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -1,7 +1,7 @@
-"""What members tell their coordinator, and what they are told.
+"""Messages between members and their coordinator.
 
-The structs go over the wire as arrays: the order of their fields is the format,
-and new fields go to the end with a default.
+The structs are sent as arrays: the order of their fields is the wire format, and new fields are
+added at the end with a default.
 """
 
 import msgspec
@@ -12,22 +12,22 @@
 from reachlink.scheduling import PaceUpdate
 
 CHANNEL_MEMBER = "member"
-"""One-way: a `MemberUpdate`. Call: the same, answered with a `CoordinatorSnapshot`."""
+"""One-way message or call: a `MemberUpdate`. Reply to a call: a `CoordinatorSnapshot`."""
 CHANNEL_PLACE = "place"
-"""Call: a `PlaceQuestion`, answered with a `PlaceAnswer`."""
+"""Call: a `PlacementQuery`. Reply: a `PlacementReply`."""
 CHANNEL_QUEUE_LEFT = "left"
-"""One-way: a `QueueLeft`."""
+"""One-way message: a `QueueLeft`."""
 
 
 class QueueLeft(msgspec.Struct, array_like=True, frozen=True):
-    """A request that stands in line no more: its caller is gone.
+    """Removes a request from the queue, as its caller is gone.
 
     Attributes
     ----------
     service : str
-        Its service.
+        Name of the request's service.
     request_id : str
-        The request.
+        Id of the request.
     """
 
     service: str
@@ -35,22 +35,22 @@
 
 
 class MemberUpdate(msgspec.Struct, array_like=True, frozen=True):
-    """What a member has at the replicas, and how much of the picture it has.
+    """Load of a member at the replicas, and the kind of snapshot that it needs.
 
     Attributes
     ----------
-    load : LoadNote
-        Its own requests, and what it found out itself.
+    load : LoadUpdate
+        Allocations of the member, and the reports that it has read itself.
     outcomes : list of ReplicaOutcome
-        How its requests went since its last note.
+        Outcomes of its requests since its last update.
     list_digest : int
-        Digest of the list of replicas that it was told last; 0 for none.
+        Digest of the latest replica list that it received; 0 if it has none.
     whole : bool
-        Whether the answer should tell of all replicas, and not only of those where
-        the member has something.
+        Whether the reply should contain all replicas, not only those where the member has
+        allocations.
     wait_s : float
-        How long an answer may be held until a replica that matters to it leaves,
-        in seconds.
+        Time in seconds for which the reply may be held until there is news, such as a replica
+        that leaves; 0 if no reply is expected.
     """
 
     load: LoadNote
@@ -61,40 +61,40 @@
 
 
 class CoordinatorSnapshot(msgspec.Struct, array_like=True, frozen=True):
-    """What a coordinator knows, as far as it matters to one member.
+    """Part of a coordinator's knowledge that one member needs.
 
     Attributes
     ----------
     coordinator : str
-        Who tells.
-    shares : list of ReplicaShare
-        What all others have at each replica that is told of; copies and generations
-        one by one only where the member has some itself.
+        Name of the coordinator.
+    shares : list of ReplicaUsage
+        Load of all instances but the member at each included replica; copies and generations
+        are listed individually only for replicas where the member has allocations.
     whole : bool
-        Whether replicas that are missing are there no more.
-    news : list of ReplicaNews
-        What was read in the reports of replicas that leave, and of those where the
-        member has something.
+        Whether all replicas are included, so that missing ones no longer exist.
+    news : list of ReplicaReport
+        Latest reports of replicas that are leaving, and of those where the member has
+        allocations.
     list_digest : int
-        Digest of the list of replicas; 0 where the coordinator has not read it yet.
+        Digest of the replica list; 0 if the coordinator has not read the list yet.
     listed : list of ListedReplica, optional
-        That list, where the member has another; none while the coordinator has not
+        Replica list, if the member has a different one; None while the coordinator has not
         read it yet.
     silent_zones : list of str
         Zones that cannot be reached.
     cut_off : bool
-        Whether that is true of all other zones.
+        Whether no other zone can be reached.
     allowances : dict of str to float
-        Share of its usual load that a replica may get, from 0 to 1, where it is
-        not all: requests of members have failed there.
+        Share of its usual load that a replica may get, from 0 to 1, for replicas where it is
+        below 1 because requests have failed there.
     cold : dict of str to float
-        How long replicas are still cold, in seconds, of those that are.
+        Time in seconds for which a replica is still cold, for replicas that are.
     quarantine : QuarantineNote
-        What the coordinator learned of crashes lately.
+        Crashes and clearances that the coordinator learned recently.
     limits : list of LimitUpdate
-        What replicas take from all instances together, of those that have said so.
+        Rate limits that replicas advertise, for all instances together.
     paces : list of PaceUpdate
-        How fast replicas work, where that is news to the member.
+        Paces of replicas that are news to the member.
     """
 
     coordinator: str
--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -1,4 +1,4 @@
-"""How the instances tell each other how fast replicas work."""
+"""Exchange of the paces of replicas between the instances."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable
@@ -8,32 +8,32 @@
 from reachlink.membership import ReplicaDirectory
 from reachlink.scheduling import PaceSource, PaceTracker, PaceUpdate, make_pace_update
 
-# Paces in one note at the most: some 60 B each.
+# Most paces in one message, about 60 B each.
 MAX_NOTES = 16
-# All is told again after this time, in seconds: a note may have been lost.
+# Time after which all paces are sent again, in seconds, as a message may have been lost.
 RESEND_INTERVAL_S = 30.0
-# Who was told what is kept of so many: well above the members of one coordinator.
+# Most recipients whose progress is kept: well above the number of members of one coordinator.
 MAX_RECIPIENTS = 500
 
 OWN_SOURCES = (PaceSource.REPORTED, PaceSource.MEASURED)
 PEER_SOURCES = (*OWN_SOURCES, PaceSource.MEMBER)
 ALL_SOURCES = (*PEER_SOURCES, PaceSource.COORDINATOR)
-# The other coordinators, who all get the same note.
+# Key of the other coordinators as one recipient: all get the same message.
 PEERS_KEY = ""
 
 
 @dataclass(slots=True)
 class _Recipient:
-    """How much one recipient knows.
+    """Progress of one recipient.
 
     Attributes
     ----------
     resend_started_at : float
-        When all was begun to be told to it last, in monotonic seconds.
+        Monotonic time in seconds at which all paces were last started to be sent to it.
     sent_up_to : int
-        Number of the last news that it was told.
+        Number of the latest change that was sent to it.
     resent_up_to : int, optional
-        The same of what it is told again; None where that is over.
+        Number of the latest change that was sent to it again; None if no resend is in progress.
     """
 
     resend_started_at: float
@@ -42,19 +42,19 @@
 
 
 class PaceExchange:
-    """Tells what is news here, and takes what others tell.
+    """Sends changes of paces to other instances, and applies the changes that they send.
 
-    Members tell their coordinator what they observed, coordinators tell each other that
-    and their own, and tell their members all. What has not changed is not told.
+    Members send their own estimates to their coordinator. Coordinators send these and their own
+    to each other, and all estimates to their members. Only changes are sent.
 
     Parameters
     ----------
     book : PaceTracker
-        What this instance believes.
+        Pace estimates of this instance.
     directory : ReplicaDirectory
-        The replicas, and when they started.
+        Replicas that exist, with their start times.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -69,25 +69,25 @@
         self._recipients: OrderedDict[str, _Recipient] = OrderedDict()
 
     def updates_for_coordinator(self, name: str) -> list[PaceUpdate]:
-        """Return what this member tells the coordinator that it follows."""
+        """Return the changes that this member sends to the coordinator that it follows."""
         return self._notes(name, OWN_SOURCES)
 
     def updates_for_peers(self) -> list[PaceUpdate]:
-        """Return what this coordinator tells the others."""
+        """Return the changes that this coordinator sends to the other coordinators."""
         return self._notes(PEERS_KEY, PEER_SOURCES)
 
     def updates_for_member(self, name: str, new: bool = False) -> list[PaceUpdate]:
-        """Return what this coordinator tells a member, all of it to one that is new."""
+        """Return the changes that this coordinator sends to a member, or all paces if it is new."""
         if new:
             self._recipients.pop(name, None)
         return self._notes(name, ALL_SOURCES)
 
     def apply_from_member(self, name: str, notes: Iterable[PaceUpdate]) -> None:
-        """Take what a member tells."""
+        """Apply the paces that a member has sent."""
         self._apply(notes, PaceSource.MEMBER, name)
 
     def apply_from_coordinator(self, name: str, notes: Iterable[PaceUpdate]) -> None:
-        """Take what a coordinator tells, its members or the others."""
+        """Apply the paces that a coordinator has sent to its members or the other coordinators."""
         self._apply(notes, PaceSource.COORDINATOR, name)
 
     def _notes(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceUpdate]:
@@ -105,7 +105,7 @@
     def _resent(
         self, known: _Recipient, sources: tuple[PaceSource, ...], news: list[str], recipient: str
     ) -> list[str]:
-        """Return what is told again beside news, which goes first."""
+        """Return the replicas whose paces are sent again; new changes go first."""
         room = MAX_NOTES - len(news)
         if known.resent_up_to is None or not room:
             return []
@@ -123,7 +123,7 @@
             if len(self._recipients) > MAX_RECIPIENTS:
                 self._recipients.popitem(last=False)
         elif found.resent_up_to is None and now - found.resend_started_at >= RESEND_INTERVAL_S:
-            # After what was told before is over: however long that took, it ends.
+            # A resend only starts after the one before has ended, so that each one ends.
             found.resend_started_at, found.resent_up_to = now, 0
             self._recipients.move_to_end(name)
         return found
@@ -139,7 +139,7 @@
             )
 
     def _is_current_lifetime(self, note: PaceUpdate, now: float) -> bool:
-        """Return whether a note is of a replica's present lifetime, be it news that it is one."""
+        """Return whether an update is about the current lifetime of a replica, noting a new one."""
         if 0 < note.born < self._directory.born(note.replica):
             return False
         self._directory.note_born(note.replica, note.born, now)
--- a/reachlink/coordination/_quarantine_exchange.py
+++ b/reachlink/coordination/_quarantine_exchange.py
@@ -1,4 +1,4 @@
-"""What entry instances tell each other of crashes, and how one that missed some learns it."""
+"""Exchange of crashes between the entry instances, and their synchronization."""
 
 import asyncio
 import contextlib
@@ -18,44 +18,44 @@
 )
 from reachlink.telemetry import get_logger
 
-# How long another instance may take to tell everything, in seconds: 4,000 crashes are some
-# 120 KB, 0.2 s over a link of 5 Mbit/s.
+# Timeout of a synchronization in seconds: 4,000 crashes are about 120 KB, which take 0.2 s over a
+# link of 5 Mbit/s.
 ANSWER_TIMEOUT_S = 0.5
-# How long what others know may differ before it is asked for, in seconds: notes under way
-# take less than a second to reach everybody.
+# Time for which digests may differ before instances synchronize, in seconds: updates in transit
+# reach all instances in less than a second.
 RESYNC_DELAY_S = 1.0
-# How long before it is asked for again where asking did not make it the same, in seconds,
-# at the most; doubled each time. In a flood two instances may keep different crashes, and
-# everything is 70 KB.
+# Longest delay until the next synchronization, in seconds. The delay is doubled each time that
+# digests still differ: during a flood of crashes two instances may keep different crashes, and a
+# full message is 70 KB.
 MAX_RESYNC_DELAY_S = 30.0
-# Time between two looks whether it differs, in seconds.
+# Time between two checks of whether digests differ, in seconds.
 CHECK_INTERVAL_S = 0.25
-# How long a start waits to learn what the others know, in seconds: where all start at
-# once, nobody answers yet.
+# Longest wait for the synchronization at the start, in seconds: if all instances start at once,
+# none replies yet.
 INITIAL_SYNC_TIMEOUT_S = 1.0
-# The same where there are only members, which come by themselves, and late where the
-# machine is busy.
+# The same if all other instances are members, in seconds: these connect on their own, and late if
+# the machine is busy.
 MEMBER_SYNC_TIMEOUT_S = 3.0
 
 
 class QuarantineExchange:
-    """Keeps a quarantine the same as that of the others.
+    """Keeps the quarantine of this instance the same as that of the others.
 
-    What is learned goes out with the notes that the instances send each other anyway. Each
-    note has a digest of all that its sender knows: where it differs for long, or after a
-    start, two instances tell each other everything. Both ways: a coordinator that starts
-    may have nobody to ask but members, whose addresses it does not know.
+    New crashes are part of the updates that the instances send each other anyway. Each update
+    has a digest of all crashes that its sender knows. If digests differ for long, and at the
+    start, two instances synchronize: they send each other everything. This goes both ways, as
+    a coordinator that starts may only have members to ask, whose addresses it does not know.
 
     Parameters
     ----------
     bus : Bus
-        Speaks with the others.
+        Message bus to the other instances.
     quarantine : Quarantine
-        What is known here.
+        Crashes that are known to this instance.
     random : random.Random
-        Chooses whom to ask.
+        Chooses the instance to synchronize with.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -70,14 +70,14 @@
         self._random = random
         self._clock = clock
         self._peers: list[str] | None = None
-        # Whether there is no other instance at all.
+        # Whether there is no other instance.
         self._alone = False
         self._peers_known = asyncio.Event()
         self._initial_sync_done = False
-        # Since when notes of others show that they know something else.
+        # Monotonic time in seconds since which digests in updates of others differ.
         self._out_of_sync_since: float | None = None
         self._resync_delay_s = RESYNC_DELAY_S
-        # Whether another instance has shown that it knows the same.
+        # Whether the digest in an update of another instance was the same.
         self._in_sync = False
         bus.handle(CHANNEL_QUARANTINE, self._on_question)
         bus.handle(CHANNEL_RELEASE, self._on_release)
@@ -85,16 +85,17 @@
 
     @property
     def initial_sync_done(self) -> bool:
-        """Whether what the others know was learned, or waited for in vain, or there are none."""
+        """Whether the synchronization at the start has succeeded, timed out, or is not needed."""
         return self._initial_sync_done or self._alone
 
     def set_peers(self, addresses: list[str], alone: bool) -> None:
-        """Take the bus addresses of instances that can be asked.
+        """Set the instances that this one can synchronize with.
 
         Parameters
         ----------
         addresses : list of str
-            The addresses; none where the others are members only, which ask by themselves.
+            Their bus addresses; empty if all other instances are members, which connect on
+            their own.
         alone : bool
             Whether there is no other instance.
         """
@@ -103,21 +104,21 @@
         self._peers_known.set()
 
     def make_update(self) -> QuarantineNote:
-        """Return what is told with a note to the others."""
+        """Return the crashes and clearances that an update to other instances contains."""
         return self._quarantine.news(self._clock())
 
     @property
     def has_news(self) -> bool:
-        """Whether there is something that others may not know yet."""
+        """Whether there are crashes or clearances that others may not know yet."""
         note = self.make_update()
         return bool(note.crashes or note.clearances)
 
     def is_behind(self, note: QuarantineNote) -> bool:
-        """Return whether this instance knows nothing, and who sent a note something."""
+        """Return whether this instance knows no crashes and the sender of an update knows some."""
         return note.digest != 0 and self._quarantine.digest() == 0
 
     def apply_update(self, note: QuarantineNote) -> bool:
-        """Take what came with a note of another instance; return whether some is news."""
+        """Apply an update of another instance; return whether it contained news."""
         now = self._clock()
         news = self._quarantine.take(note, now)
         if note.digest == self._quarantine.digest():
@@ -125,12 +126,13 @@
             self._resync_delay_s = RESYNC_DELAY_S
             self._in_sync = True
         elif self._out_of_sync_since is None:
-            # One that knows nothing has just started: it is told before it sends.
+            # A sender that knows no crashes has just started: synchronize at once, before it
+            # sends requests.
             self._out_of_sync_since = now if note.digest else now - self._resync_delay_s
         return news
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Keep the quarantine synchronized until cancelled."""
         await self._synchronize_at_start()
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
@@ -142,7 +144,7 @@
 
     async def _synchronize_at_start(self) -> None:
         started = self._clock()
-        # Cut off from the control instances it may never come.
+        # The list of instances may never arrive if the control instances cannot be reached.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(INITIAL_SYNC_TIMEOUT_S):
                 await self._peers_known.wait()
@@ -155,7 +157,7 @@
         self._initial_sync_done = True
 
     async def _synchronize(self) -> bool:
-        """Tell one of the others everything and be told the same; return whether it answered."""
+        """Exchange all crashes with one other instance; return whether it replied."""
         if not self._peers:
             return False
         address = self._random.choice(self._peers)
@@ -175,7 +177,7 @@
         return encode(self._quarantine.everything(self._clock()))
 
     async def _on_release(self, sender: str, body: bytes) -> bytes:
-        """Let a request go; the others learn of it as of any clearance."""
+        """Release a request; the others receive the release as they do any clearance."""
         order = decode(body, ReleaseOrder)
         was_held = self._quarantine.verdict(order.fingerprint, self._clock()) is not None
         self._quarantine.clear(order.fingerprint, self._clock())
--- a/reachlink/coordination/_queue_client.py
+++ b/reachlink/coordination/_queue_client.py
@@ -1,4 +1,4 @@
-"""Asks who keeps the line of a service in this zone: another instance, or this one."""
+"""Placement of this instance's requests by the owner of a service's queue."""
 
 import asyncio
 from collections.abc import Callable, Set
@@ -17,37 +17,38 @@
 from reachlink.scheduling import Refuse, Wait
 from reachlink.telemetry import get_logger
 
-# Owners whose loss is waited for, some 200 B each: more than a zone has coordinators.
+# Most owners for which queries wait to learn that the owner is lost, about 200 B each: more than
+# a zone has coordinators.
 MAX_TRACKED_OWNERS = 64
 
 
 class _LostMeanwhileError(CallTimeoutError):
-    """Another question has shown that the owner is lost."""
+    """Another query has shown that the owner is lost."""
 
 
 class QueueClient:
-    """Has this instance's requests stand in line.
+    """Asks the owners of the queues to place this instance's requests.
 
     Parameters
     ----------
     selector : CoordinatorSelector
-        Knows who keeps which line.
+        Returns the owner of each queue.
     name : str
-        This instance.
+        Name of this instance.
     bus : Bus
-        Speaks with owners.
+        Message bus to the owners.
     own : QueueOwner
-        Keeps the lines that this instance owns, and those of one that is alone.
+        Queues that this instance owns, also used if no owner can be reached.
     settled : callable
-        Returns whether this instance coordinates and has listened for long enough.
+        Returns whether this instance is a coordinator that is ready to decide.
     count : callable
-        Is told how each question ended: ``"placed"``, ``"waits"``, ``"refused"``,
+        Called with the outcome of each query: ``"placed"``, ``"waits"``, ``"refused"``,
         ``"no_room"`` or ``"silent"``.
     silent_zones : callable, optional
-        Returns the zones that this one seems to be cut off from, where the line is one over
-        all zones in reach; None where each has its own.
+        Returns the zones that this one seems to be cut off from, if all reachable zones share
+        one queue; None if each zone has its own.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -69,15 +70,16 @@
         self._count = count
         self._silent_zones = silent_zones
         self._clock = clock
-        # Set once an owner does not answer, for those whose answers it holds.
+        # Events by owner that are set as soon as the owner fails to reply to any query, for the
+        # queries whose replies it holds.
         self._lost_owners: dict[str, asyncio.Event] = {}
         self._log: Any = get_logger()
 
     async def ask(self, question: PlaceQuestion) -> PlaceAnswer | None:
-        """Return what the owner of the line says; None where this instance decides at once.
+        """Return the reply of the queue's owner, or None if this instance should decide.
 
-        An owner that has just started keeps no line: it decides only where no other does.
-        Where none answers, this instance keeps a line for its own requests.
+        An owner that has just started does not queue requests and decides only if no other
+        owner does. If no owner replies, this instance queues its requests itself.
         """
         answer = await self._ask_owners(question)
         self._count("silent" if answer is None else _outcome_of(answer))
@@ -101,7 +103,7 @@
     async def _ask_owner(
         self, owner: InstanceRecord, question: PlaceQuestion
     ) -> PlaceAnswer | None:
-        """Return what an owner says, who may be this instance itself."""
+        """Return the reply of an owner, which may be this instance itself."""
         if owner.name != self._name:
             return await self._ask_one(owner, question)
         if not self._settled():
@@ -124,7 +126,7 @@
             raw = await self._call(owner, question)
             return decode(raw, PlaceAnswer)
         except _LostMeanwhileError:
-            # Noted already, by who has found it.
+            # The query that found the owner lost has already recorded it.
             self._send_left(owner, question)
             return None
         except MessagingError as error:
@@ -136,7 +138,7 @@
             raise
 
     def _send_left(self, owner: InstanceRecord, question: PlaceQuestion) -> None:
-        """Tell an owner that no answer is waited for any more: a place would stay empty."""
+        """Tell an owner to drop a request: a place granted to it would stay unused."""
         left = QueueLeft(question.service, question.request_id)
         self._bus.send(owner.address, CHANNEL_QUEUE_LEFT, encode(left))
 
@@ -147,7 +149,7 @@
         )
         if hold_s <= 0.0:
             return await call
-        # Another question may show before that the owner is lost.
+        # Another query may find that the owner is lost before this one times out.
         call_task = asyncio.ensure_future(call)
         if len(self._lost_owners) >= MAX_TRACKED_OWNERS:
             self._lost_owners.clear()
@@ -157,7 +159,7 @@
             await asyncio.wait({call_task, lost_task}, return_when=asyncio.FIRST_COMPLETED)
             if call_task.done():
                 return call_task.result()
-            raise _LostMeanwhileError(f"{CHANNEL_PLACE} at {owner.address}: lost meanwhile")
+            raise _LostMeanwhileError(f"{CHANNEL_PLACE} at {owner.address}: owner is lost")
         finally:
             call_task.cancel()
             lost_task.cancel()
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -1,4 +1,4 @@
-"""Grants places to the requests of a line, in its order, and notes what they take."""
+"""Grants of room at replicas to queued requests, and the load that they add."""
 
 from collections.abc import Callable
 from random import Random
@@ -21,36 +21,36 @@
 from reachlink.routing import Service
 from reachlink.scheduling import EMPTY_QUEUE, Begin, Need, QueuedRequest, QueueState
 
-# Waiting requests that replicas are compared for in order; as many more where these may fit and
-# none of the first does.
+# Queued requests for which replicas are compared in order. If none of them gets room, as many
+# others that may fit are compared, drawn at random.
 MAX_COMPARED = 8
-# Places that are granted in one look.
+# Most places that are granted in one scan.
 MAX_GRANTS_PER_SCAN = 16
 
 _Candidate = tuple[QueuedRequest, HeldQuestion]
 
 
 class QueueGrants:
-    """Grants what room there is.
+    """Grants the room at replicas to queued requests.
 
     Parameters
     ----------
     name : str
-        This instance.
-    placing : Placing
-        Decides where a request would begin.
-    book : ReplicaBook
-        Tells the others of what is granted to their requests.
-    shared : SharedLoad
-        Where it is noted what was granted.
+        Name of this instance.
+    placing : Placer
+        Chooses the replica for a request.
+    book : ReplicaTracker
+        Notified of grants to requests of other instances, so that an update is sent.
+    shared : PeerLoad
+        Load of the other instances, to which grants are added.
     directory : ReplicaDirectory
-        The replicas.
+        Replicas that exist.
     outcomes : QueueOutcomes
-        Where it is noted who was granted a place.
+        Records the requests that were granted a place.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     random : random.Random
-        Draws whom replicas are compared for.
+        Draws the requests for which replicas are compared.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
     def start_immediately(
         self, queue: ServiceQueue, service: Service, question: PlaceQuestion, need: Need
     ) -> PlaceAnswer | None:
-        """Return the answer to a request that finds nobody in line, and room."""
+        """Place a request if the queue is empty and there is room; return None otherwise."""
         if len(queue.requests):
             return None
         replica = self._start_now(service, question)
@@ -91,7 +91,7 @@
         return PlaceAnswer(settled=True, replica=replica)
 
     def grant_in_order(self, queue: ServiceQueue, service: Service, now: float) -> None:
-        """Grant what room there is to those who wait."""
+        """Grant the room that there is to queued requests."""
         queue.unfit.clear(now)
         for _ in range(MAX_GRANTS_PER_SCAN):
             if not self._grant_next(queue, service, now):
@@ -100,7 +100,7 @@
     def has_room(
         self, queue: ServiceQueue, service: Service, question: PlaceQuestion, now: float
     ) -> bool:
-        """Return whether a place is free for a request, though others go first."""
+        """Return whether there is room for a request, regardless of requests ahead of it."""
         queue.unfit.drop_expired(now)
         if not queue.unfit.may_fit(question):
             return False
@@ -110,17 +110,17 @@
         return False
 
     def _grant_next(self, queue: ServiceQueue, service: Service, now: float) -> bool:
-        """Grant a place to the first for whom there is one; return whether there was."""
+        """Grant a place to the first request that fits; return whether there was one."""
         candidates = [
             (waiting, held)
             for waiting in queue.requests.order(now)
             if (held := queue.held_queries.get(waiting.request_id)) is not None and now < held.until
         ]
         smallest = _smallest_by_constraints(candidates)
-        # Where the smallest does not fit, none of those who may go there does.
+        # If the smallest request does not fit, none with the same constraints does.
         for _, held in smallest[:MAX_COMPARED]:
             self.has_room(queue, service, held.question, now)
-        # The first that does not fit of those who may go to the same zones.
+        # First request that does not fit, by the zones that it may go to.
         overtaken: dict[tuple[str, ...] | None, QueuedRequest] = {}
         reserved: frozenset[str] = frozenset()
         compared = 0
@@ -134,7 +134,7 @@
                 overtaken[held.question.zones] = waiting
                 if waiting.reserves_room(now):
                     reserved |= self._reserved_replicas(service, held.question)
-        # Those who were not compared, by chance: each has its turn.
+        # Requests that were not compared are drawn at random, so that each is compared in time.
         left = [(waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.question)]
         for waiting, held in self._random.sample(left, min(MAX_COMPARED, len(left))):
             if self._grant(queue, service, waiting, held, now, reserved):
@@ -143,7 +143,7 @@
         return False
 
     def _reserved_replicas(self, service: Service, question: PlaceQuestion) -> frozenset[str]:
-        """Return the replicas where room is held back for one that may go there."""
+        """Return the replicas whose room is reserved for a request that may go there."""
         live = self._directory.live(service.name)
         zones = question.zones
         return frozenset(
@@ -182,7 +182,7 @@
         name: str,
         now: float,
     ) -> ListedReplica | None:
-        """Note a place that a waiting request gets, and return it."""
+        """Record the grant of a place to a queued request, and return the replica."""
         replica = self._reserve(question, name)
         if replica is None:
             return None
@@ -192,7 +192,7 @@
         return replica
 
     def _start_now(self, service: Service, question: PlaceQuestion) -> ListedReplica | None:
-        """Return the replica where a request begins now, noting that it does."""
+        """Return the replica where a request starts now and add its load; None without room."""
         start = self._placing.start(service, question)
         return self._reserve(question, start.replica) if isinstance(start, Begin) else None
 
@@ -211,7 +211,7 @@
 
 
 def _smallest_by_constraints(candidates: list[_Candidate]) -> list[_Candidate]:
-    """Return the one that needs least memory of those who may go to the same replicas."""
+    """Return the request that needs least memory for each set of constraints."""
     found: dict[object, _Candidate] = {}
     for waiting, held in candidates:
         constraints = constraints_of(held.question)
--- a/reachlink/coordination/_queue_outcomes.py
+++ b/reachlink/coordination/_queue_outcomes.py
@@ -1,4 +1,4 @@
-"""What becomes of the requests of a line: noted, counted and logged."""
+"""Outcomes of queued requests, which are recorded, counted and logged."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -24,17 +24,17 @@
 
 
 class QueueOutcomes:
-    """Notes who arrives, who gets a place, who is refused and who leaves.
+    """Records the requests that arrive, get a place, are refused or leave the queue.
 
     Parameters
     ----------
     count : callable
-        Is told a service and what became of a request: ``"granted"``, ``"left"`` or the
+        Called with a service and the outcome of a request: ``"granted"``, ``"left"`` or the
         reason of a refusal.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     random : random.Random
-        Spreads the times that are told to those who are refused.
+        Adds jitter to the retry times of refused requests.
     """
 
     def __init__(
@@ -48,17 +48,17 @@
 
     @property
     def caller_retry_counts(self) -> CallerRetryCounts:
-        """What became of those who were refused here."""
+        """Outcomes of the requests that were refused here and of their retries."""
         return self._ledger.book.counts
 
     def reserved_tokens(self, service: str, now: float) -> int:
-        """Return what those need who were told to come back to a service, in tokens."""
+        """Return the memory reserved for announced retries at a service, in tokens."""
         return self._ledger.book.reserved_tokens(service, now)
 
     def record_arrival(
         self, queue: ServiceQueue, question: PlaceQuestion
     ) -> tuple[PlaceQuestion, Need]:
-        """Note the first question about a request; return it and its need, as was promised."""
+        """Record the first query about a request; return it and the need, with its reservation."""
         need, promise = self._ledger.on_arrival(question)
         question = structs.replace(question, need=need)
         queue.arrivals[question.request_id] = question, promise
@@ -72,7 +72,7 @@
         start: Begin | Refuse,
         line: QueueState,
     ) -> Refuse | None:
-        """Note what became of a request; return what it is told that is refused."""
+        """Record the decision about a request; return the refusal that its caller gets, if any."""
         arrived = queue.arrivals.pop(request_id, None)
         if arrived is None:
             return start if isinstance(start, Refuse) else None
@@ -83,7 +83,7 @@
     def refuse(
         self, queue: ServiceQueue, waiting: QueuedRequest, reason: RefusalReason, now: float
     ) -> PlaceAnswer:
-        """Return the answer to a request that goes, and note why."""
+        """Refuse a request that was queued; return the reply to it."""
         state = queue.requests.state_ahead_of(waiting, now)
         left = waiting.need_at(now)
         state = replace(state, reserved_tokens=self.reserved_tokens(queue.service, now))
@@ -94,7 +94,7 @@
         return PlaceAnswer(settled=True, otherwise=told)
 
     def record_joined(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> None:
-        """Note that a request stands in line from now on."""
+        """Record that a request has joined the queue."""
         state = queue.requests.state_ahead_of(waiting, now)
         self._log.info(
             "line_joined",
@@ -117,7 +117,7 @@
         state: QueueState,
         now: float,
     ) -> None:
-        """Note that a waiting request gets a place at a replica."""
+        """Record that a queued request is granted a place at a replica."""
         self.record_decision(queue, waiting.request_id, waiting.need, Begin(replica), state)
         self._count(queue.service, "granted")
         self._log.info(
@@ -133,7 +133,7 @@
         )
 
     def record_left(self, queue: ServiceQueue, waiting: QueuedRequest, reason: str) -> None:
-        """Note that a request is in line no more, and why."""
+        """Record that a request has left the queue without a place, and why."""
         _, promise = queue.arrivals.pop(waiting.request_id, (None, None))
         if reason == "lease" and promise is not None:
             self._ledger.book.restore(promise, self._clock())
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -1,7 +1,8 @@
-"""Keeps the line of requests that wait for room, and grants places in its order.
+"""Queues of requests that wait for room, and the granting of places in their order.
 
-It answers crowds: who waits asks once and gets the answer when there is room, and until
-then costs one message and its answer each `QUEUE_POLL_TIMEOUT_S`.
+Queries are long polls, so that the cost is bounded under overload: the reply to a query about a
+queued request is held until there is room, which costs one message and its reply in each
+`QUEUE_POLL_TIMEOUT_S`.
 """
 
 import asyncio
@@ -38,43 +39,43 @@
 )
 from reachlink.telemetry import get_logger
 
-# Longest time that an answer is held, in seconds.
+# Longest time for which a reply is held, in seconds.
 MAX_HOLD_S = 1.0
-# How long a place is kept between two questions, in seconds.
+# Time for which a request stays queued after a reply until the next query about it, in seconds.
 LEASE_MARGIN_S = 0.3
-# How often room is looked for at the least and at the most, in seconds.
+# Longest and shortest time between two scans for room, in seconds.
 MAX_SCAN_INTERVAL_S = 0.05
 MIN_SCAN_INTERVAL_S = 0.02
-# One that stands in line is refused where its wait will be so many times what it has: what
-# is forecast varies, and it has waited already.
+# A queued request is refused if its forecast wait is this many times the time that it has left:
+# forecasts vary, and the request has already waited.
 HOPELESS_WAIT_FACTOR = 3.0
 
 
 class QueueOwner:
-    """Keeps the lines that this instance owns.
+    """Owns the queues of services and replies to queries about their requests.
 
     Parameters
     ----------
     name : str
-        This instance.
-    placing : Placing
-        Decides where a request would begin.
-    book : ReplicaBook
-        Tells when something has ended here.
-    shared : SharedLoad
-        Where it is noted what was granted.
+        Name of this instance.
+    placing : Placer
+        Chooses the replica for a request.
+    book : ReplicaTracker
+        Notifies this instance of requests that have ended here.
+    shared : PeerLoad
+        Load of the other instances, to which grants are added.
     directory : ReplicaDirectory
-        The replicas.
+        Replicas that exist.
     services : callable
-        Returns the model engines' services.
+        Returns the services that are served by model engines.
     count : callable
-        Is told a service and what became of a request: ``"granted"``, ``"left"`` or the
+        Called with a service and the outcome of a request: ``"granted"``, ``"left"`` or the
         reason of a refusal.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     random : random.Random, optional
-        Spreads the times that are told to those who are refused, and draws whom replicas are
-        compared for.
+        Adds jitter to the retry times of refused requests, and draws the requests for which
+        replicas are compared.
     """
 
     def __init__(
@@ -108,32 +109,32 @@
 
     @property
     def caller_retry_counts(self) -> CallerRetryCounts:
-        """What became of those who were refused here."""
+        """Outcomes of the requests that were refused here and of their retries."""
         return self._outcomes.caller_retry_counts
 
     @property
     def waiting_counts(self) -> dict[str, int]:
-        """How many requests stand in line, by service."""
+        """Number of queued requests by service."""
         return {name: len(queue.requests) for name, queue in self._queues.items()}
 
     @property
     def oldest_wait_s(self) -> dict[str, float]:
-        """How long the oldest of them has stood there, in seconds, by service."""
+        """Time in seconds since the oldest queued request joined, by service."""
         now = self._clock()
         return {name: queue.requests.oldest_s(now) for name, queue in self._queues.items()}
 
     def wake(self) -> None:
-        """Take that there may be room: something has ended, or a replica has come."""
+        """Scan for room soon, as a request has ended or a replica was added."""
         if self._scan_task is not None:
             self._changed.set()
 
     async def answer(self, question: PlaceQuestion) -> PlaceAnswer:
-        """Return where a request should go, held until there is room or its hold is over.
+        """Return the placement of a request, held until there is room or its hold time is over.
 
         Parameters
         ----------
-        question : PlaceQuestion
-            A question with `hold_s` and `need`.
+        question : PlacementQuery
+            Query with `hold_s` and `need`.
         """
         service = self._service(question.service)
         need = question.need
@@ -146,18 +147,18 @@
         return begun or await self._enqueue(queue, service, question, need)
 
     async def answer_local(self, question: PlaceQuestion) -> PlaceAnswer:
-        """Return the same for a request of this instance."""
+        """Return the placement of a request of this instance; see `answer`."""
         try:
             answer = await self.answer(structs.replace(question, instance=self._name))
         except asyncio.CancelledError:
             self.leave(question.service, question.request_id)
             raise
-        # From here on its flight counts.
+        # From here on the allocation of the request counts instead of the grant.
         self._shared.forget(self._name)
         return answer
 
     def leave(self, service: str, request_id: str) -> None:
-        """Take that a request is not asked for any more: its caller is gone."""
+        """Remove a request from the queue, as its caller is gone."""
         queue = self._queues.get(service)
         if queue is None:
             return
@@ -204,7 +205,7 @@
         waiting: QueuedRequest,
         now: float,
     ) -> Start:
-        """Return what is forecast for a request that stands in line."""
+        """Return the forecast start of a queued request."""
         state = queue.requests.state_ahead_of(waiting, now)
         told = self._outcomes.reserved_tokens(queue.service, now)
         state = replace(state, reserved_tokens=told)
@@ -216,7 +217,7 @@
         return start
 
     def _is_hopeless(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> bool:
-        """Return whether one that stands in line already will wait far beyond its time."""
+        """Return whether the forecast wait of a queued request far exceeds the time it has left."""
         state = queue.requests.state_ahead_of(waiting, now)
         return expected_wait_s(waiting.need, state) >= HOPELESS_WAIT_FACTOR * (
             waiting.latest_start_at - now
@@ -225,8 +226,8 @@
     async def _hold(
         self, queue: ServiceQueue, question: PlaceQuestion, waiting: QueuedRequest, hold_s: float
     ) -> PlaceAnswer:
-        """Return the answer once there is one, or that it waits yet."""
-        # A question that its asker has given up is answered first.
+        """Return the reply once there is one, or after the hold time that the request waits."""
+        # An earlier query about the request has timed out at its sender: end it first.
         queue.answer_without_place(question.request_id, Wait(0.0))
         future: asyncio.Future[PlaceAnswer] = asyncio.get_running_loop().create_future()
         held = HeldQuestion(question, self._clock() + hold_s, future)
@@ -251,7 +252,7 @@
             queue.answer(shed.request_id, answer)
 
     def _start_scanning(self) -> None:
-        """Look for room for as long as somebody waits."""
+        """Scan for room as long as requests are queued."""
         self._changed.set()
         if self._scan_task is None or self._scan_task.done():
             self._scan_task = asyncio.get_running_loop().create_task(self._scan_loop())
@@ -273,11 +274,11 @@
                 async with asyncio.timeout(MAX_SCAN_INTERVAL_S - MIN_SCAN_INTERVAL_S):
                     await self._changed.wait()
             except TimeoutError:
-                # Room that nobody tells of: others' notes, replicas that have come.
+                # Updates of other instances and new replicas may make room without a notification.
                 continue
 
     def _scan(self, queue: ServiceQueue) -> None:
-        """Grant what room there is, in order."""
+        """Drop expired requests and grant the room that there is in the order of the queue."""
         now = self._clock()
         self._drop_expired(queue, now)
         service = self._service(queue.service)
@@ -293,11 +294,11 @@
                 queue.answer(waiting.request_id, answer)
             else:
                 self._outcomes.record_left(queue, waiting, "lease")
-                # This process stood still: who is there still asks again.
+                # This process was paused: callers that are still there send another query.
                 queue.answer_without_place(waiting.request_id, Wait(0.0))
 
 
 def _fits_empty_replica(service: Service, need: Need) -> bool:
-    """Return whether an empty replica would have room."""
+    """Return whether a request fits into an empty replica."""
     engine = service.engine
     return engine is not None and need.tokens <= engine.kv_capacity_tokens
--- a/reachlink/coordination/_recent_grants.py
+++ b/reachlink/coordination/_recent_grants.py
@@ -1,4 +1,4 @@
-"""What was granted a moment ago counts, until its instance tells of it by itself."""
+"""Load of recent grants, counted until the instance that got the grant reports it itself."""
 
 import asyncio
 from collections import deque
@@ -6,27 +6,27 @@
 
 from reachlink.requests import LoadNote, ReplicaShare, SharedLoad, total
 
-# An instance that was heard within this time tells its load here, in seconds: each does
-# so once a second at the least.
+# An instance whose last update is not older than this reports its load to this coordinator, in
+# seconds: each instance sends an update at least once a second.
 REPORTS_HERE_S = 1.5
-# How long a grant counts for an instance that tells another coordinator, in seconds: it
-# tells that one after 0.03 s, which tells this one after some 0.07 s.
+# Time for which a grant counts if its instance reports to another coordinator, in seconds: the
+# instance sends an update to that one after 0.03 s, which sends it here after about 0.07 s.
 GRANT_COUNTED_S = 0.25
-# How soon what is too old is dropped at the earliest, in seconds: not one by one.
+# Shortest delay until expired grants are dropped, in seconds, so that several are dropped at once.
 MIN_EXPIRY_DELAY_S = 0.005
-# Under which name the grants to such instances are summed up; no instance has it.
+# Key of the sum of the grants to such instances in `PeerLoad`; no instance has this name.
 RECENT_GRANTS = "fresh grants"
 
 
 class RecentGrants:
-    """Notes grants in the sum of what all have at the replicas.
+    """Adds recent grants to the load of the other instances.
 
     Parameters
     ----------
-    shared : SharedLoad
-        The sum.
+    shared : PeerLoad
+        Load of the other instances.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(self, shared: SharedLoad, clock: Callable[[], float]) -> None:
@@ -36,10 +36,10 @@
         self._expiry_timer: asyncio.TimerHandle | None = None
 
     def add(self, instance: str, share: ReplicaShare) -> None:
-        """Note what an instance is granted at a replica."""
+        """Add the load that a grant to an instance puts on a replica."""
         now = self._clock()
         if now - self._shared.last_heard(instance) < REPORTS_HERE_S:
-            # Its next note here stands in place of this.
+            # The next update of the instance replaces this load.
             self._shared.add(instance, share, now)
             return
         self._grants.append((now + GRANT_COUNTED_S, share))
--- a/reachlink/coordination/_replica_list.py
+++ b/reachlink/coordination/_replica_list.py
@@ -1,4 +1,4 @@
-"""The list of replicas as a coordinator tells it; pure."""
+"""Conversions of the replica list between instances; does no I/O."""
 
 import zlib
 from collections.abc import Iterable
@@ -8,7 +8,7 @@
 
 
 def listed_replicas(directory: ReplicaDirectory, now: float) -> list[ListedReplica]:
-    """Return every replica that is there, with whether it is known to leave, and cold."""
+    """Return all replicas, with whether each is known to be leaving and how long it is cold."""
     return [
         ListedReplica(
             name=replica.name,
@@ -24,9 +24,9 @@
 
 
 def replica_list_digest(listed: Iterable[ListedReplica]) -> int:
-    """Return a number that differs where the lists differ; never 0.
+    """Return a digest of a replica list, which is never 0.
 
-    How long replicas are cold is left out: that differs at every moment.
+    The time for which replicas are still cold is left out, as it changes continuously.
 
     Examples
     --------
@@ -40,7 +40,7 @@
 
 
 def to_listed_replica(instance: ListedInstance) -> ListedReplica:
-    """Return one line of the platform's list as instances tell it."""
+    """Return an entry of the platform's list as instances send it."""
     return ListedReplica(
         name=instance.name,
         service=instance.upstream,
@@ -53,7 +53,7 @@
 
 
 def to_listed_instances(listed: Iterable[ListedReplica]) -> list[ListedInstance]:
-    """Return what another instance has told as lines of the platform's list."""
+    """Return replicas that another instance has sent as entries of the platform's list."""
     return [
         ListedInstance(
             replica.name,
--- a/reachlink/coordination/_service_queue.py
+++ b/reachlink/coordination/_service_queue.py
@@ -1,4 +1,4 @@
-"""The line of one service, and the questions whose answers are held until there is room."""
+"""The queue of one service, with the queries whose replies are held until there is room."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -10,16 +10,16 @@
 
 @dataclass(slots=True, eq=False)
 class HeldQuestion:
-    """A question whose answer is held.
+    """A placement query whose reply is held until there is room.
 
     Attributes
     ----------
-    question : PlaceQuestion
-        The question.
+    question : PlacementQuery
+        The query.
     until : float
-        Until when its asker waits, in monotonic seconds.
+        Monotonic time in seconds until which the asking instance waits for the reply.
     answer : asyncio.Future
-        Where the answer is put.
+        Future that receives the reply.
     """
 
     question: PlaceQuestion
@@ -29,22 +29,35 @@
 
 @dataclass(slots=True, eq=False)
 class ServiceQueue:
-    """The line of one service, with the questions of those that wait."""
+    """Queue of one service, with the queries about its requests.
+
+    Attributes
+    ----------
+    service : str
+        Name of the service.
+    requests : RequestQueue
+        Requests that wait for room.
+    held_queries : dict of str to HeldQuestion
+        Queries whose replies are held, by request id.
+    arrivals : dict of str to tuple
+        First query about each request that is neither started nor refused yet, and the
+        reservation that the request claimed, by request id.
+    unfit : UnfitCache
+        Sizes of requests for which the current scan found no room.
+    """
 
     service: str
     requests: RequestQueue = field(default_factory=RequestQueue)
     held_queries: dict[str, HeldQuestion] = field(default_factory=dict)
-    # Those that have arrived, by their names: what was asked first, and what they had been
-    # promised when they were refused before.
     arrivals: dict[str, tuple[PlaceQuestion, RetryReservation | None]] = field(default_factory=dict)
     unfit: UnfitCache = field(default_factory=UnfitCache)
 
     def answer_without_place(self, request_id: str, otherwise: Wait | Refuse) -> None:
-        """Answer a held question with what its request should do."""
+        """Reply to a held query that its request should wait or is refused."""
         self.answer(request_id, PlaceAnswer(settled=True, otherwise=otherwise))
 
     def answer(self, request_id: str, answer: PlaceAnswer) -> None:
-        """Answer a held question, if there is one."""
+        """Reply to the held query about a request, if there is one."""
         held = self.held_queries.pop(request_id, None)
         if held is not None and not held.answer.done():
             held.answer.set_result(answer)
