--- a/reachlink/coordination/_asking.py
+++ b/reachlink/coordination/_asking.py
@@ -35,11 +35,11 @@
         The first instance that replied but is not ready, if no ready instance replied. It
         decides only if the query forces it to.
     """
-    unsettled: InstanceRecord | None = None
+    not_ready: InstanceRecord | None = None
     for instance in islice(instances, MAX_ASKED):
         answer = await ask(instance)
         if answer is not None and answer.settled:
             return answer, None
         if answer is not None:
-            unsettled = unsettled or instance
-    return None, unsettled
+            not_ready = not_ready or instance
+    return None, not_ready
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -176,12 +176,12 @@
 
     async def _ask_coordinators(self, question: PlaceQuestion) -> PlaceAnswer | None:
         coordinators = self._selector.by_preference(self._clock())
-        answer, unsettled = await ask_in_order(
+        answer, not_ready = await ask_in_order(
             coordinators, lambda one: self._ask_one(one, question)
         )
-        if unsettled is None:
+        if not_ready is None:
             return answer
-        answer = await self._ask_one(unsettled, structs.replace(question, insist=True))
+        answer = await self._ask_one(not_ready, structs.replace(question, insist=True))
         return answer if answer is not None and answer.settled else None
 
     async def _ask_one(
--- a/reachlink/coordination/_queue_client.py
+++ b/reachlink/coordination/_queue_client.py
@@ -87,17 +87,17 @@
 
     async def _ask_owners(self, question: PlaceQuestion) -> PlaceAnswer | None:
         owners = self._owners(question.service)
-        answer, unsettled = await ask_in_order(
+        answer, not_ready = await ask_in_order(
             owners, lambda owner: self._ask_owner(owner, question)
         )
         if answer is not None:
             return answer
-        if unsettled is None:
+        if not_ready is None:
             return await self._queue_locally(question)
-        if unsettled.name == self._name:
+        if not_ready.name == self._name:
             return None
         insists = structs.replace(question, insist=True, hold_s=0.0)
-        answer = await self._ask_one(unsettled, insists)
+        answer = await self._ask_one(not_ready, insists)
         return answer if answer is not None and answer.settled else None
 
     async def _ask_owner(
