--- a/reachlink/requests/__init__.py
+++ b/reachlink/requests/__init__.py
@@ -1,4 +1,4 @@
-"""The way of a request, free of any border: place, dispatch, follow, finish."""
+"""Request lifecycle, independent of the protocols: placement, dispatch, relaying the answer."""
 
 from reachlink.requests._attempts import AttemptFailure, AttemptLog
 from reachlink.requests._book import Flight, ReplicaBook, ReplicaState
--- a/reachlink/requests/_answer_body.py
+++ b/reachlink/requests/_answer_body.py
@@ -1,4 +1,4 @@
-"""The whole body of an answer, held as far as there is room for it."""
+"""Reading a whole answer body within the buffer budget."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,9 +6,9 @@
 from reachlink.limits import BufferKind, CallerBuffer
 from reachlink.upstreams import RelayAnswer, UpstreamBrokenError
 
-# A whole answer larger than this, in bytes, is not held to be checked.
+# Largest answer body in bytes that is buffered as a whole in order to check it.
 MAX_BODY_BYTES = 8 << 20
-# How often an answer looks whether the instance has room for it, in seconds.
+# Interval in seconds at which an answer that waits for buffer space asks for it again.
 BUFFER_POLL_INTERVAL_S = 0.02
 
 
@@ -23,18 +23,19 @@
     Parameters
     ----------
     answer : RelayAnswer
-        Whose body is unread.
+        Answer whose body has not been read yet.
     held : CallerBuffer, optional
-        Counts what is held for the caller: where there is no room the replica waits.
+        Buffer account of the caller. While there is no space, the body is not read, so that
+        the replica has to wait.
     on_wait : callable
-        Called where it does.
+        Called each time that reading waits for buffer space.
     kept : int
-        Bytes of an answer before this one that is kept beside it.
+        Size of the answer of an earlier attempt that is still buffered, in bytes.
 
     Raises
     ------
     UpstreamBrokenError
-        If it is longer than what is held of one answer, or breaks off.
+        If the body exceeds the limit for one answer, or is cut off.
     """
     pieces: list[bytes] = []
     size = 0
@@ -44,22 +45,22 @@
         pieces.append(data)
         size += len(data)
         if size > MAX_BODY_BYTES:
-            raise UpstreamBrokenError("the answer is too long")
+            raise UpstreamBrokenError("answer body exceeds the size limit of whole answers")
         await room.reach(size)
     return b"".join(pieces)
 
 
 class _BufferReservation:
-    """Room for one answer, taken as it comes in.
+    """Buffer space for one answer, reserved as the body arrives.
 
     Parameters
     ----------
     held : CallerBuffer, optional
-        Counts it.
+        Buffer account of the caller; None if nothing is accounted for.
     on_wait : callable
-        Called where there is no room at once.
+        Called each time that the reservation has to wait.
     kept : int
-        Bytes of an answer before this one that is kept beside it.
+        Size of the answer of an earlier attempt that is still buffered, in bytes.
     """
 
     def __init__(
@@ -69,16 +70,16 @@
         self._on_wait = on_wait
         self._size = 0
         if held is not None:
-            # An answer before this one was not given.
+            # Releases the space of the answer of an earlier attempt, unless it is still kept.
             held.set_size(BufferKind.ANSWER, previous_bytes)
 
     async def reach(self, size: int) -> None:
-        """Return when there is room for so many bytes in all."""
+        """Wait until space for `size` bytes in total is reserved."""
         more = size - self._size
         if self._held is None or more <= 0:
             return
         if not self._held.fits_caller_limit(more):
-            raise UpstreamBrokenError("the answer is too long for what one caller may hold")
+            raise UpstreamBrokenError("answer body exceeds the buffer limit of one caller")
         while not self._held.reserve(BufferKind.ANSWER, more):
             self._on_wait()
             await asyncio.sleep(BUFFER_POLL_INTERVAL_S)
--- a/reachlink/requests/_attempts.py
+++ b/reachlink/requests/_attempts.py
@@ -1,4 +1,4 @@
-"""What follows an attempt that brought no answer; pure."""
+"""Failures of attempts and what they imply for further attempts. No I/O."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -10,7 +10,7 @@
 
 
 class AttemptFailure(Enum):
-    """Why an attempt brought no answer."""
+    """Why an attempt got no answer that can be given to the caller."""
 
     UNREACHABLE = "unreachable"
     GONE = "gone"
@@ -22,18 +22,19 @@
     SLOW = "slow"
 
 
-# The replica may get the request a little later.
+# Pacing does not allow the request at this replica now; it may be sent there later.
 _PACED = frozenset({AttemptFailure.BACKOFF, AttemptFailure.LIMITED})
 _DID_NOT_RUN = _PACED | {AttemptFailure.UNREACHABLE, AttemptFailure.GONE, AttemptFailure.NOT_RUN}
-# The replica that was meant did not get the request.
+# The chosen replica did not receive the request.
 _NOT_SENT = _PACED | {AttemptFailure.UNREACHABLE, AttemptFailure.GONE}
-# Nor did any other: another attempt is no repeat.
+# No replica received the request, so that another attempt needs no retry budget. A request
+# that reached the wrong replica (GONE) does need it.
 BUDGET_EXEMPT = _PACED | {AttemptFailure.UNREACHABLE}
 
 
 @singledispatch
 def pacing_failure(error: UpstreamHeldBackError) -> AttemptFailure:
-    """Return what it means that a replica may get nothing now."""
+    """Return the failure for a request that pacing keeps from being sent."""
     return AttemptFailure.BACKOFF
 
 
@@ -44,20 +45,20 @@
 
 @dataclass(slots=True)
 class AttemptLog:
-    """The attempts of one request so far.
+    """Record of the attempts of one request.
 
     Attributes
     ----------
     may_repeat : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     max_attempts : int
-        Most replicas that it may be sent to.
+        Maximum number of replicas that the request may be sent to.
     sent : int
-        Replicas that it was sent to.
+        Number of replicas that received the request.
     may_have_run : bool
-        Whether one of them may have run it.
+        Whether one of these replicas may have run the request.
     reason : str
-        Why there is no answer so far, as a short code for logs and metrics.
+        Short code of the last failure, for logs and metrics.
     """
 
     may_repeat: bool
@@ -68,11 +69,11 @@
 
     @property
     def outcome(self) -> Outcome:
-        """What can be said of the request."""
+        """Whether the request may have run."""
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
     def record_failure(self, failure: AttemptFailure) -> None:
-        """An attempt ended without an answer to give."""
+        """Record that an attempt got no answer for the caller."""
         self.reason = failure.value
         if failure not in _NOT_SENT:
             self.sent += 1
@@ -80,7 +81,7 @@
             self.may_have_run = True
 
     def may_try_another_replica(self) -> bool:
-        """Return whether another replica may get the request."""
+        """Return whether the request may be sent to another replica."""
         if self.sent >= self.max_attempts:
             return False
         return self.may_repeat or not self.may_have_run
--- a/reachlink/requests/_event_merger.py
+++ b/reachlink/requests/_event_merger.py
@@ -1,4 +1,4 @@
-"""Joining the pieces of one generation into one stream; pure."""
+"""Merging the events of one generation from several replicas into one stream. No I/O."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class EventMerger:
-    """Passes each event once and in order, wherever its piece came from.
+    """Passes on each event once and in order, whichever replica sent it.
 
     Examples
     --------
@@ -23,16 +23,16 @@
 
     @property
     def last_event_number(self) -> int:
-        """Number of the last event that was passed on; -1 before the first."""
+        """Number of the last event passed on; -1 before the first one."""
         return self._last
 
     def merge(self, events: Iterable[StreamEvent]) -> bytes:
-        """Return the bytes of the events that follow, without repeated ones.
+        """Return the bytes of the new events, dropping the repeated ones.
 
         Raises
         ------
         StreamCutError
-            If an event is missing.
+            If an event number is skipped.
         """
         ready: list[bytes] = []
         for event in events:
--- a/reachlink/requests/_model.py
+++ b/reachlink/requests/_model.py
@@ -1,4 +1,4 @@
-"""A caller's request, free of any border, and where its answer goes."""
+"""Protocol-independent request of a caller, and the interface that takes its answer."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -12,28 +12,28 @@
 
 @dataclass(slots=True)
 class CallerRequest:
-    """A request that was read whole, with what the routing table says of it.
+    """A completely read request with its route.
 
     Attributes
     ----------
     relay : RelayRequest
-        What is sent on.
+        Request as it is sent to a replica.
     route : Route
-        Its route.
+        Route that the request matched.
     service : Service
-        The one of the route's services that was drawn for it.
+        Service that was selected at random from the services of the route.
     arrived_at : float
-        When it was read, in monotonic seconds.
+        Monotonic time in seconds at which the request was read.
     caller_timeout_s : float
-        How long its caller waits from then on, in seconds.
+        Time in seconds that the caller waits for the answer, from `arrived_at` on.
     zones : frozenset of str, optional
-        Availability zones that it may run in; None for any.
+        Availability zones that the request may run in; None for any.
     refusal : Refuse, optional
-        Why and until when there is no place for it, as the line's owner says.
+        Refusal by the owner of the queue, with its reason and the time to retry.
     last_hold : Hold, optional
-        Why its replicas got nothing as it was last looked for one.
+        Why pacing held the request back from all replicas in the last placement, if it did.
     caller_buffer : CallerBuffer, optional
-        Counts what is held for its caller; None where nobody counts.
+        Buffer account of the caller; None if nothing is accounted for.
     """
 
     relay: RelayRequest
@@ -48,31 +48,31 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's name for it."""
+        """Request id that the caller gave."""
         return self.relay.request_id
 
     @property
     def deadline(self) -> float:
-        """When it must have its final answer, in monotonic seconds."""
+        """Monotonic time in seconds by which the final answer must be given."""
         return self.arrived_at + min(self.caller_timeout_s, self.route.timeout_s)
 
     @property
     def prompt_tokens(self) -> int:
-        """Size of its prompt in tokens; 0 for a plain call."""
+        """Size of the prompt in tokens; 0 for a plain call."""
         return self.relay.generation.prompt_tokens if self.relay.generation else 0
 
 
 class AnswerSink(Protocol):
-    """Takes an answer and gives it to the caller."""
+    """Writes an answer to the caller."""
 
     async def write_whole(self, head: AnswerHead, body: bytes) -> None:
-        """Give a whole answer."""
+        """Write a whole answer."""
 
     async def begin(self, head: AnswerHead) -> None:
-        """Begin an answer whose body follows in pieces."""
+        """Write the head of an answer whose body follows in chunks."""
 
     async def write(self, data: bytes) -> None:
-        """Give the next piece."""
+        """Write the next chunk of the body."""
 
     async def end(self) -> None:
-        """End the body: the answer is complete."""
+        """End the body; the answer is complete."""
--- a/reachlink/requests/_outcome_recorder.py
+++ b/reachlink/requests/_outcome_recorder.py
@@ -1,4 +1,4 @@
-"""What is learned of a replica from how a request ended there."""
+"""Recording the health of replicas from how requests ended at them."""
 
 from typing import Any
 
@@ -14,16 +14,16 @@
 
 
 class OutcomeRecorder:
-    """Notes how requests ended at replicas.
+    """Records how requests ended at replicas.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Dependencies.
     placing : Placing
-        Leaves zones alone that could not be reached.
+        Avoids zones that could not be reached.
     guard : CrashGuard
-        Judges which request a replica crashed under.
+        Finds out which requests crash replicas.
     """
 
     def __init__(self, parts: RunnerParts, placing: Placing, guard: CrashGuard) -> None:
@@ -33,39 +33,39 @@
         self._log: Any = get_logger()
 
     def record_success(self, request: CallerRequest, replica: Replica) -> None:
-        """Note that a replica delivered."""
+        """Record that a replica delivered its answer."""
         self._record_outcome(ReplicaOutcome(replica.name, good=True))
         self._guard.on_answer(request.relay.fingerprint)
 
     def record_failed_answer(self, request: CallerRequest, replica: Replica) -> None:
-        """Note that a replica answered that a request has failed."""
+        """Record that a replica answered with a server error."""
         self._record_outcome(ReplicaOutcome(replica.name, good=False))
         self._guard.on_answer(request.relay.fingerprint)
 
     def record_no_answer(self, replica: Replica) -> None:
-        """Note that a replica gave no answer, or none that counts."""
+        """Record that a replica gave no answer, or not a genuine one."""
         self._record_outcome(ReplicaOutcome(replica.name, good=False, answered=False))
 
     def record_unreachable(self, replica: Replica) -> None:
-        """Note that no connection to a replica could be made."""
+        """Record that no connection to a replica could be made."""
         self.record_no_answer(replica)
         self._placing.reachable.note_unreachable(replica)
 
     def record_broken(
         self, request: CallerRequest, replica: Replica, sent_at: float, begun: bool
     ) -> None:
-        """Note that the connection to a replica ended before a request's answer did.
+        """Record that the connection to a replica ended before the answer was complete.
 
         Parameters
         ----------
         request : CallerRequest
             The request.
         replica : Replica
-            Where it was.
+            Replica that the request was sent to.
         sent_at : float
-            When it was sent there, in monotonic seconds.
+            Monotonic time in seconds at which the request was sent.
         begun : bool
-            Whether a part of the answer had come.
+            Whether a part of the answer had arrived.
         """
         self.record_no_answer(replica)
         run = BrokenRun(
@@ -79,29 +79,32 @@
         self._guard.on_broken(run)
 
     def record_refusal(self, replica: Replica, head: AnswerHead, sent_at: float) -> AttemptFailure:
-        """Return what it means that a replica did not run a request, and note it.
+        """Record that a replica refused to run a request; return the failure of the attempt.
 
         Parameters
         ----------
         replica : Replica
             The replica.
         head : AnswerHead
-            What it said.
+            Head of its answer.
         sent_at : float
-            When the request was sent there, in monotonic seconds.
+            Monotonic time in seconds at which the request was sent.
         """
         if not head.misdirected:
             self._record_refusal(replica, sent_at)
             return AttemptFailure.NOT_RUN
-        # Replicas come back under other names while the list still has those before: one
-        # request after the other would be sent to these, and refused.
+        # The address belongs to another replica by now. Until the list of replicas drops the old
+        # name, one request after the other would be sent there and refused.
         if self._parts.directory.mark_gone(replica.name, self._parts.clock()):
             self._log.info("upstream_gone", replica=replica.name)
             self._parts.on_gone(replica.name)
         return AttemptFailure.GONE
 
     def record_leaving(self, replica: Replica, head: AnswerHead, now: float) -> None:
-        """Note that a replica says that it leaves, or closes its connections as those do."""
+        """Record that a replica announces that it leaves, or closes its connection.
+
+        Leaving replicas close their connections; others do so now and then.
+        """
         if head.misdirected or not (head.leaving or head.closing):
             return
         parts = self._parts
@@ -111,7 +114,7 @@
             parts.on_leaving(replica.name, head.leaving)
 
     def _record_refusal(self, replica: Replica, sent_at: float) -> None:
-        """Note a refusal of a replica that has not said for how long it wants nothing."""
+        """Record a refusal, unless the replica has asked for a backoff with it."""
         pacing, now = self._parts.pacing, self._parts.clock()
         if pacing.backoffs.remaining_s(replica.address, now):
             return
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -1,4 +1,4 @@
-"""What the way of a request works with."""
+"""Dependencies of the request lifecycle."""
 
 from collections.abc import Awaitable, Callable, Set
 from dataclasses import dataclass, field
@@ -20,64 +20,64 @@
 
 
 async def admit_immediately(address: str, patience_s: float) -> None:
-    """Let a request go: no replica has a limit."""
+    """Grant a permit at once; used if no replica has a rate limit."""
 
 
 class Directory(Protocol):
-    """Which replicas exist and may get new work."""
+    """The known replicas and their states, as `ReplicaDirectory` keeps them."""
 
     @property
     def out_of_service(self) -> Set[str]:
-        """Availability zones whose replicas get nothing more."""
+        """Availability zones that are out of service; their replicas get no new requests."""
 
     @property
     def is_whole(self) -> bool:
-        """Whether a whole list of replicas was taken once."""
+        """Whether a complete list of replicas has been received."""
 
     def live(self, upstream: str) -> list[Replica]:
-        """Return the replicas of a service that may get new work."""
+        """Return the replicas of a service that may get new requests."""
 
     def find(self, name: str) -> Replica | None:
-        """Return a replica by name."""
+        """Return a replica by name; None if it is unknown."""
 
     def may_get_work(self, name: str) -> bool:
-        """Return whether a replica may get new work now."""
+        """Return whether a replica may get new requests now."""
 
     def stays(self, name: str) -> bool:
-        """Return whether a replica is there and not known to leave."""
+        """Return whether a replica is present and not known to be leaving."""
 
     def born(self, name: str) -> int:
-        """Return when a replica started last, in Unix milliseconds; 0 for unknown."""
+        """Return when a replica last started, in Unix milliseconds; 0 if unknown."""
 
     def staying(self, upstream: str) -> list[Replica]:
-        """Return the replicas of a service that do not leave, in service or not."""
+        """Return the replicas of a service that are not leaving, in service or not."""
 
     def cold_s(self, name: str, now: float) -> float:
-        """Return how long a replica is still cold, in seconds; 0 for a warm one."""
+        """Return the time in seconds until a replica is warm; 0 for a warm one."""
 
     def know(self, name: str, upstream: str, zone: str, address: str) -> Replica:
-        """Return a replica that another instance has named, noting it where it is new."""
+        """Return a replica that another instance has named; add it if it is unknown."""
 
     def leaving(self, upstream: str, since: float) -> list[str]:
-        """Return the replicas of a service that were found to leave since then."""
+        """Return the replicas of a service found to be leaving since `since`."""
 
     def mark_gone(self, name: str, now: float) -> bool:
-        """Note that a replica is gone for good; return whether that is news."""
+        """Record that a replica is permanently gone; return whether this is new."""
 
     def mark_leaving(self, name: str, source: LeavingSource, now: float) -> bool:
-        """Note that a replica leaves, or seems to; return whether that is news."""
+        """Record that a replica is or seems to be leaving; return whether this is new."""
 
 
 @dataclass(slots=True, frozen=True)
 class RetryLimits:
-    """How often requests may be sent again, by all entry instances together.
+    """Limits on retries by all entry instances together.
 
     Attributes
     ----------
     share : float
-        Retries as a share of first attempts.
+        Allowed retries as a fraction of the first attempts.
     burst : float
-        Retries beyond that share at one time.
+        Retries that may be saved up and then be made at one time.
     """
 
     share: float = 0.1
@@ -86,53 +86,55 @@
 
 @dataclass(slots=True)
 class RunnerParts:
-    """What `RequestRunner` works with.
+    """Dependencies of `RequestRunner`.
 
     Attributes
     ----------
     zone : str
-        This instance's availability zone.
+        Availability zone of this instance.
     adapter : RelayAdapter
-        Speaks with replicas.
+        Client of the replicas.
     directory : Directory
-        The replicas.
+        Known replicas.
     book : ReplicaBook
-        What is known of them.
+        Load and health of the replicas, and the requests of this instance at them.
     shared : SharedLoad
-        What the other entry instances have there.
+        Load of the other entry instances at the replicas.
     random : random.Random
-        Source of tie-breaks.
+        Random number generator, for example for breaking ties.
     silent_zones : callable
-        Returns the zones that this instance seems to be cut off from.
+        Returns the zones that this instance cannot reach, as far as it can tell.
     departures : Departures
-        When leaving replicas will be gone.
+        Expected shutdown times of leaving replicas.
     clock : callable
         Monotonic time in seconds.
     on_outcome : callable
-        Called with the request, outcome code and duration in seconds.
+        Called at the end of a request with the request, its outcome code and its duration in
+        seconds.
     retry_limits : RetryLimits
-        How often requests may be sent again.
+        Limits on retries.
     instance_count : callable
-        Returns how many entry instances share what `retry_limits` allows.
+        Returns the number of entry instances that share `retry_limits`.
     on_leaving : callable
-        Called with the name of a replica that leaves or seems to, and whether it said so.
+        Called with the name of a replica that is or seems to be leaving, and whether the
+        replica itself announced it.
     on_gone : callable
-        Called with the name of a replica that is gone for good.
+        Called with the name of a replica that is permanently gone.
     cut_off : callable
-        Returns whether this instance's zone is cut off from the others.
+        Returns whether the zone of this instance is cut off from the other zones.
     ask_coordinator : callable
-        Asks who knows what all instances have at the replicas.
+        Sends a placement query to a coordinator, which knows the load of all instances.
     deciders : callable
         Returns the instances that choose replicas.
     quarantine : Quarantine
-        What all instances know of crashes.
+        Crashes known to all instances, and the requests held because of them.
     pacing : PacingTracker
-        What the replicas ask of who sends to them; `adapter` keeps to it, too.
+        Backoffs and rate limits that the replicas ask for; `adapter` obeys them as well.
     admit : callable
-        Waits for a request's permit at a replica with a limit, by its address, for as many
-        seconds at the most.
+        Waits for a permit at a replica with a rate limit; takes the address of the replica and
+        the longest wait in seconds.
     scheduling : SchedulingSettings
-        Which parts of scheduling the deployment asks for.
+        Scheduling features that the deployment enables.
     """
 
     zone: str
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -1,4 +1,4 @@
-"""Sending a request to a replica."""
+"""Placing requests and sending them to replicas."""
 
 import asyncio
 from typing import Any
@@ -23,19 +23,19 @@
     UpstreamHeldBackError,
 )
 
-# How long a stream that has lost its replica waits for its permit at the one with its copy, in
-# seconds: callers leave after two seconds of silence, of which 0.8 may have
-# passed before the loss was noticed.
+# Longest time in seconds that a stream that has lost its replica waits for a permit at the replica
+# with its copy. Callers leave after 2 s of silence, of which 0.8 s may have passed before the loss
+# was noticed.
 CONTINUATION_PERMIT_WAIT_S = 1.0
 
 
 class RequestDispatcher:
-    """Places and sends requests, and knows who keeps account of them.
+    """Places and sends requests, and gives access to the components that track them.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Dependencies.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
@@ -52,42 +52,42 @@
 
     @property
     def placing(self) -> Placing:
-        """Chooses replicas."""
+        """Component that chooses replicas."""
         return self._placing
 
     @property
     def flights(self) -> Flights:
-        """Knows which requests are where."""
+        """Requests and copies of this instance at the replicas."""
         return self._flights
 
     @property
     def copy_order(self) -> CopyOrder:
-        """Orders the copies of generations."""
+        """Component that orders the copies of generations."""
         return self._copy_order
 
     @property
     def pace(self) -> ReplicaPace:
-        """Notes how fast replicas work."""
+        """Component that records the pace of replicas."""
         return self._pace
 
     @property
     def retry_policy(self) -> RetryPolicy:
-        """Judges whether to try again."""
+        """Component that decides on further attempts."""
         return self._retry_policy
 
     @property
     def outcomes(self) -> OutcomeRecorder:
-        """Notes how requests ended at replicas."""
+        """Component that records how requests ended at replicas."""
         return self._outcome_recorder
 
     @property
     def guard(self) -> CrashGuard:
-        """Keeps requests under which replicas crash away from replicas."""
+        """Component that stops requests that crash replicas."""
         return self._guard
 
     @property
     def adapter(self) -> RelayAdapter:
-        """Speaks with replicas."""
+        """Client of the replicas."""
         return self._parts.adapter
 
     @property
@@ -104,8 +104,8 @@
         return self._parts.random.random()
 
     async def place_or_wait(self, request: CallerRequest, tried: set[str]) -> Replica | None:
-        """Return the replica that a request should go to, after a short wait if need be."""
-        full = await self._full(request, tried)
+        """Return the replica for a request, after a short wait if necessary."""
+        full = await self._full_replicas(request, tried)
         if full is None:
             return None
         excluded = tried | full
@@ -116,8 +116,13 @@
                 return replica
         return await self._timely.place_or_wait(request, excluded)
 
-    async def _full(self, request: CallerRequest, tried: set[str]) -> frozenset[str] | None:
-        """Return the replicas that hold too much to get a request; None where all do for long."""
+    async def _full_replicas(
+        self, request: CallerRequest, tried: set[str]
+    ) -> frozenset[str] | None:
+        """Return the replicas that cannot take the body of a request, within the byte limit.
+
+        None if all replicas stay full until the request may wait no longer.
+        """
         if not self._parts.scheduling.held_bytes:
             return frozenset()
         size = len(request.relay.body)
@@ -140,7 +145,7 @@
         )
 
     def _likely_to_refuse(self, request: CallerRequest, tried: set[str]) -> set[str]:
-        """Return the replicas that would likely refuse a request, which could not be repeated."""
+        """Return the replicas that are likely to refuse a request, if no retry is left for it."""
         if self._parts.pacing.refusals.is_empty or self._retry_policy.has_retry_left(
             request.service
         ):
@@ -148,7 +153,7 @@
         return self._placing.refusing(request, tried)
 
     async def wait_for_permit(self, request: CallerRequest, replica: Replica) -> bool:
-        """Return whether a replica may get a request, after a wait that callers bear."""
+        """Wait for a permit to resume a stream at a replica; return whether there is one."""
         left_s = self.remaining_hold_s(replica)
         if left_s > CONTINUATION_PERMIT_WAIT_S:
             return False
@@ -161,7 +166,7 @@
         return True
 
     def remaining_hold_s(self, replica: Replica) -> float:
-        """Return how long a replica may get nothing by what it has asked for, in seconds."""
+        """Return for how long pacing forbids requests at a replica, in seconds."""
         return self._parts.pacing.remaining_s(replica.address, self.now())
 
     async def open(
@@ -171,14 +176,14 @@
         continuation: Continuation | None = None,
         backup: Replica | None = None,
     ) -> RelayAnswer:
-        """Send a request to a replica, with what remains of its time.
+        """Send a request to a replica, with its remaining time as the timeout.
 
         Raises
         ------
         HeldRequestError
-            If replicas crash under it: whatever attempt, copy or repeat this is.
+            If replicas crash under the request; checked on every attempt and continuation.
         UpstreamHeldBackError
-            If the replica may get nothing now by what it has asked for.
+            If the replica has asked for a backoff, or its rate limit is used up.
         """
         parts = self._parts
         await self._guard.admit(request.relay.fingerprint, request.request_id)
@@ -188,7 +193,7 @@
         try:
             answer = await parts.adapter.open(replica, request.relay, left, continuation, backup)
         finally:
-            # A permit is for one send.
+            # A permit is valid for one attempt.
             request.relay.admitted = False
         now = parts.clock()
         if not answer.head.not_run:
@@ -199,5 +204,5 @@
         return answer
 
     async def _touch(self, replica: Replica) -> None:
-        """Make sure that a replica is there."""
+        """Probe a replica; raises an `UpstreamError` if it does not answer."""
         await self._parts.adapter.touch(replica)
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -1,4 +1,4 @@
-"""How often a request is tried, and what its caller is told after the last try."""
+"""Limits on the attempts of a request, and the answer after the last one failed."""
 
 from typing import Any
 
@@ -16,20 +16,20 @@
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import Replica
 
-# When to come back after a refusal, in seconds: the next attempt reaches
-# another entry instance, whose view of the replicas differs.
+# Delay in seconds after which a refused caller should retry. The retry reaches another entry
+# instance, whose view of the replicas differs.
 RETRY_AFTER_S = 0.1
 
 
 class RetryPolicy:
-    """Judges whether a request may be tried again, within what each service may spend.
+    """Decides on further attempts, within the retry budget of each service.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Dependencies.
     placing : Placing
-        Knows why a request finds no replica.
+        Tells why a request finds no replica.
     """
 
     def __init__(self, parts: RunnerParts, placing: Placing) -> None:
@@ -39,12 +39,12 @@
         self._log: Any = get_logger()
 
     def begin(self, request: CallerRequest) -> AttemptLog:
-        """Return the empty log of a request's attempts, which earns its share of retries."""
+        """Return an empty attempt log; a first attempt adds its share to the retry budget."""
         self._budget(request.service).on_first_attempt(self._parts.retry_limits.share)
         return AttemptLog(request.route.may_repeat, request.route.max_attempts)
 
     def has_retry_left(self, service: Service) -> bool:
-        """Return whether a request of a service could be sent once more."""
+        """Return whether the retry budget of a service allows a retry."""
         return self._budget(service).has_retry
 
     def may_retry(
@@ -54,10 +54,10 @@
         failure: AttemptFailure,
         attempts: AttemptLog,
     ) -> bool:
-        """Note an attempt that brought no answer; return whether another may follow.
+        """Record a failed attempt; return whether another one may follow.
 
-        An attempt that reached no replica takes nothing from the retry budget. One that was
-        turned away does: it has cost a replica something.
+        The next attempt takes nothing from the retry budget if no replica was reached. After a
+        refusal it does, because refusing has a cost for the replica as well.
         """
         attempts.record_failure(failure)
         self._log.info(
@@ -77,7 +77,7 @@
         return False
 
     def failure(self, request: CallerRequest, attempts: AttemptLog) -> RequestFailedError:
-        """Return the final answer after the last attempt."""
+        """Return the final answer after the last attempt failed."""
         if attempts.may_have_run:
             return RequestFailedError(502, attempts.reason, Outcome.UNKNOWN)
         if request.refusal is not None:
@@ -86,9 +86,10 @@
         if obstacle is not None:
             wait = obstacle.come_back_in_s
             return RequestFailedError(503, obstacle.value, Outcome.NOT_RUN, wait)
-        # Those that it was sent to, too: who comes back may go there.
+        # Includes the replicas that were tried, since a retry of the caller may go to them.
         hold = self._placing.hold(request, frozenset())
-        # One may have become free since the last look; why it was refused holds all the same.
+        # A replica may have become available since the last placement; the reason for which the
+        # request was held back then is still the one to report.
         hold = hold or request.last_hold
         if hold is not None and hold.reason is not HoldReason.REFUSING:
             wait = max(RETRY_AFTER_S, hold.remaining_s)
@@ -100,7 +101,7 @@
         return RequestFailedError(503, attempts.reason, Outcome.NOT_RUN, wait)
 
     def _refusal(self, request: CallerRequest, refused: Refuse) -> RequestFailedError:
-        """Return the answer to one that is refused by who owns the line."""
+        """Return the answer to a request that the owner of the queue refuses."""
         reason, come_back_in_s = refused.reason.value, refused.retry_after_s
         self._log.info(
             "refusal_told",
@@ -118,7 +119,7 @@
         budget = self._budgets.get(service.name)
         if budget is None:
             budget = self._budgets[service.name] = RetryBudget()
-        # Each instance saves up its part of what all may spend at one time.
+        # Each instance may save up its share of the burst of all instances.
         budget.most = max(
             1.0, self._parts.retry_limits.burst / max(1, self._parts.instance_count())
         )
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -1,4 +1,4 @@
-"""The way of a request: place, dispatch, follow, finish."""
+"""Running a request from its arrival to its final answer."""
 
 import asyncio
 
@@ -15,12 +15,12 @@
 
 
 class RequestRunner:
-    """Carries requests from callers to replicas and answers back.
+    """Sends requests of callers to replicas and relays the answers.
 
     Parameters
     ----------
     parts : RunnerParts
-        What it works with.
+        Dependencies.
     """
 
     def __init__(self, parts: RunnerParts) -> None:
@@ -28,12 +28,12 @@
         self._dispatch = RequestDispatcher(parts)
         self._whole = WholeRunner(self._dispatch)
         self._streams = StreamRunner(self._dispatch)
-        # Requests under way, each with what ends it at its time.
+        # Running requests, each by the timeout that ends it at its deadline.
         self._running: dict[asyncio.Timeout, CallerRequest] = {}
 
     @property
     def placing(self) -> Placing:
-        """Chooses replicas."""
+        """Component that chooses replicas."""
         return self._dispatch.placing
 
     def is_service_unreachable(self, service: str) -> bool:
@@ -41,25 +41,29 @@
         return self._dispatch.placing.reachable.out_of_reach(service)
 
     def on_replica_restarted(self, replica: str) -> None:
-        """Take that a replica has started again under its name."""
+        """Handle that a replica has restarted under the same name."""
         self._dispatch.guard.on_started_again(replica)
 
     def on_resumed(self) -> None:
-        """The machine was suspended: end what is over, as timers stood still meanwhile."""
+        """Handle the end of a suspension of the machine.
+
+        Timers did not advance meanwhile, so that the timeouts are set to the deadlines again;
+        requests past their deadline end at once.
+        """
         now = asyncio.get_running_loop().time()
         for scope, request in self._running.items():
             if not scope.expired():
                 scope.reschedule(now + max(0.0, request.deadline - self._parts.clock()))
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
-        """Carry one request to its end.
+        """Run one request to its end.
 
         Raises
         ------
         RequestFailedError
-            With the final answer to give; nothing was given yet.
+            If nothing was given to the caller yet; holds the final answer to give.
         StreamCutError
-            The stream that was begun must be broken off.
+            If a started stream must be aborted.
         """
         started = self._parts.clock()
         code = "cancelled"
@@ -68,7 +72,7 @@
         try:
             async with asyncio.timeout(max(0.0, request.deadline - started)) as scope:
                 self._running[scope] = request
-                # At once, before it waits for a place.
+                # A held request is refused at once, before it waits for a replica.
                 guard.check(request.relay.fingerprint, request.request_id)
                 if request.route.kind is RequestKind.STREAM:
                     await self._streams.run(request, sink)
@@ -77,7 +81,7 @@
             code = "delivered"
         except HeldRequestError as error:
             code = HELD
-            # Not 503: that asks callers to come back, and they would meet the same.
+            # Not 503, which would invite the caller to retry with the same result.
             raise RequestFailedError(502, HELD, Outcome.UNKNOWN, message=str(error)) from error
         except TimeoutError as error:
             code = "timeout"
--- a/reachlink/requests/_shadow_copy.py
+++ b/reachlink/requests/_shadow_copy.py
@@ -1,4 +1,4 @@
-"""Copying a running generation's memory to another replica, again and again."""
+"""Repeated copying of the memory of a running generation to another replica."""
 
 import asyncio
 import contextlib
@@ -15,25 +15,25 @@
     UpstreamHeldBackError,
 )
 
-# Pause between two copies, in seconds: each brings only what is new, and what
-# is missing at the end is read anew.
+# Interval in seconds between two transfers. Each transfers only the new memory; what is missing
+# when the generation resumes has to be computed again.
 REFRESH_INTERVAL_S = 1.0
-# The same where the generation's replica is about to be taken away: some
-# thirty tokens are missing then, which are read within the pause of a step.
+# Interval in seconds if the primary is leaving. About thirty tokens are missing then, which are
+# recomputed within the pause of one step.
 FAST_REFRESH_INTERVAL_S = 0.3
 
 
 class ShadowCopy:
-    """A copy that follows a generation from some point on.
+    """Copy of a generation's memory at another replica, refreshed while the generation runs.
 
     Parameters
     ----------
     adapter : RelayAdapter
-        Speaks with replicas.
+        Client of the replicas.
     request_id : str
-        Request that the generation serves.
+        Id of the request that the generation serves.
     source, target : Replica
-        Where it runs, and where the copy is.
+        Replica that runs the generation, and replica that gets the copy.
     log : object
         Logger.
     clock : callable
@@ -64,49 +64,49 @@
 
     @property
     def failed(self) -> bool:
-        """Whether there is no copy and none will come."""
+        """Whether copying has ended without a copy."""
         return self._task.done() and self._memory is None
 
     @property
     def move_failure(self) -> MoveSetback | None:
-        """Why an order was turned away; None where none was."""
+        """Why a transfer was refused; None if none was."""
         return self._move_failure
 
     @property
     def move_in_progress(self) -> bool:
-        """Whether an order is being carried out: the source takes no other one."""
+        """Whether a transfer is in progress; the source accepts no second one meanwhile."""
         return self._move_in_progress
 
     @property
     def has_memory(self) -> bool:
-        """Whether the target has a copy, be it an old one."""
+        """Whether the target has a copy, even an outdated one."""
         return self._memory is not None
 
     @property
     def target(self) -> Replica:
-        """Where the copy is."""
+        """Replica that gets the copy."""
         return self._target
 
     def refresh_faster(self) -> None:
-        """Copy more often from now on: the source is about to be lost."""
+        """Refresh the copy more often from now on, because the source is about to be lost."""
         self._refresh_fast.set()
 
     async def stop(self) -> MovedMemory | None:
-        """Stop copying and return the copy, if there is one."""
+        """Stop refreshing and return the copy, if there is one."""
         self._task.cancel()
         await asyncio.wait({self._task})
         return self._memory
 
     def discard(self) -> None:
-        """Stop copying and free the copy."""
+        """Stop refreshing and free the memory at the target."""
         self._discarded = True
         self._refresh_fast.set()
         self._release_task = asyncio.create_task(self._release())
 
     async def _run(self) -> None:
         try:
-            # An order on its way is waited for: the target holds memory from its
-            # start, and only its answer names what to free.
+            # A transfer in progress is always awaited. The target allocates memory at its start,
+            # and only the answer names the handle with which to free it.
             while not self._discarded and await self._copy():
                 await self._pause()
         except UpstreamError as error:
@@ -155,7 +155,7 @@
         return True
 
     async def _request_move(self) -> MoveResult | None:
-        """Order a move; None where the source is in backoff: it runs on."""
+        """Request a transfer; None while pacing holds it back: the generation runs on meanwhile."""
         self._move_in_progress = True
         try:
             return await self._adapter.move(self._source, self._request_id, self._target, False)
@@ -174,6 +174,6 @@
         await asyncio.wait({self._task})
         if self._memory is None:
             return
-        # What is not freed here gives way by itself: its replica keeps it only for a while.
+        # If this fails, the target drops the memory by itself after some time.
         with contextlib.suppress(UpstreamError):
             await self._adapter.release(self._memory)
--- a/reachlink/requests/_stream_times.py
+++ b/reachlink/requests/_stream_times.py
@@ -1,13 +1,13 @@
-"""When the events of one stream were given on; pure."""
+"""Timing of the events of one stream. No I/O."""
 
 
 class StreamTimes:
-    """Keeps the first event's time and the longest pause of a stream.
+    """Records the time to the first event and the longest pause of a stream.
 
     Parameters
     ----------
     arrived_at : float
-        When the request was read, in monotonic seconds.
+        Monotonic time in seconds at which the request was read.
 
     Examples
     --------
@@ -27,12 +27,12 @@
 
     @property
     def first_s(self) -> float | None:
-        """Time from the request to its first event, in seconds; None before it."""
+        """Time from the arrival of the request to the first event, in seconds; None before it."""
         return self._first_s
 
     @property
     def longest_pause_s(self) -> float:
-        """Longest time between two events, in seconds."""
+        """Longest pause between two events, in seconds."""
         return self._longest_pause_s
 
     @property
@@ -41,7 +41,7 @@
         return self._longest_pause_at
 
     def note(self, event_number: int, now: float) -> float:
-        """Note that events up to a number were given on; return the pause before, in seconds."""
+        """Record that events up to a number were passed on; return the pause before, in seconds."""
         if self._given_at is None:
             self._given_at = now
             self._first_s = round(now - self._arrived_at, 6)
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -1,8 +1,7 @@
 """Requests whose answer is a stream of events, which may outlive its replica.
 
-While a generation runs, its memory is copied to a second replica as it
-grows. Where the first one is lost, the second goes on after the last event
-that the caller got.
+While a generation runs, its memory is copied to a second replica. If the primary is lost, the
+generation resumes at the second replica after the last event that the caller got.
 """
 
 import asyncio
@@ -29,16 +28,16 @@
     UpstreamUnreachableError,
 )
 
-# A replica that gives no event for this long, in seconds, is taken for lost:
-# well above what reading other prompts takes, below what callers bear.
+# Time in seconds without an event after which a replica counts as lost. Well above the time that
+# the prefill of other prompts takes, and below the silence after which callers leave.
 MAX_SILENCE_S = 0.8
-# A caller that takes an event at once takes it sooner than this, in seconds; one that does not
-# decides itself when the next are read.
+# Time in seconds from which on a write counts as delayed by the caller. A caller that reads slowly
+# determines itself when the next events are read.
 SLOW_WRITE_S = 0.005
 
 
 class StreamRunner:
-    """Carries streams.
+    """Runs requests whose answers are streams.
 
     Parameters
     ----------
@@ -50,7 +49,7 @@
         self._dispatch = dispatch
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
-        """Carry one request to its end."""
+        """Run one request to its end."""
         dispatch = self._dispatch
         attempts = dispatch.retry_policy.begin(request)
         tried: set[str] = set()
@@ -67,7 +66,7 @@
 
 
 class _Stream:
-    """One generation on its way through one replica or several."""
+    """Stream of one generation, which may resume at other replicas."""
 
     def __init__(
         self, dispatch: RequestDispatcher, request: CallerRequest, sink: AnswerSink
@@ -78,21 +77,21 @@
         self._merger = EventMerger()
         self._places = GenerationPlaces(dispatch, request, self._merger)
         self._times = StreamTimes(request.arrived_at)
-        self._rhythm = EventIntervalMeter()
-        # Whether its home had prompts to read as the last look at the rhythm ended.
+        self._interval_meter = EventIntervalMeter()
+        # Whether the primary had unread prompts when the last event interval was measured.
         self._had_unread_prompts = True
         self._moves = 0
-        # Whether no event has come since the last move.
+        # Whether no event has arrived since the generation resumed at another replica.
         self._no_event_since_move = False
-        # When the request was sent to its present home, in monotonic seconds, and how
-        # many events had come by then.
+        # Monotonic time in seconds at which the request was sent to the present primary, and
+        # number of the last event at that time.
         self._sent_at = 0.0
         self._last_event_when_sent = -1
-        # Whether the caller has the head of the answer.
+        # Whether the head of the answer was passed on to the caller.
         self._head_sent = False
 
     async def start(self, replica: Replica) -> AttemptFailure | None:
-        """Begin at a replica and follow to the end; return why it did not begin, if so."""
+        """Run the stream to its end; return why it did not start at the replica, if so."""
         watch = asyncio.create_task(self._places.watch())
         fingerprint = self._request.relay.fingerprint
         try:
@@ -108,7 +107,7 @@
             self._places.leave()
 
     def _has_given_no_event(self) -> bool:
-        """Return whether the caller has no event yet."""
+        """Return whether the caller has got no event yet."""
         return self._merger.last_event_number < 0
 
     async def _run(self) -> AttemptFailure | None:
@@ -142,7 +141,7 @@
         return None
 
     async def _continue(self) -> bool:
-        """Continue where the generation's memory is; return whether the stream ended."""
+        """Resume at a replica that has a copy; return whether the stream is complete."""
         options = await self._places.continuations()
         options.sort(key=lambda option: self._dispatch.remaining_hold_s(option[0]))
         for target, memory in options:
@@ -159,11 +158,11 @@
         raise StreamCutError("no_copy_left")
 
     async def _continue_at(self, target: Replica, memory: MovedMemory) -> RelayAnswer | None:
-        """Ask a replica to go on; return None where it cannot."""
+        """Ask a replica to resume the generation; return None if it cannot."""
         lost = await self._places.move_to(target)
         self._moves += 1
         self._no_event_since_move = True
-        self._reset_rhythm()
+        self._reset_interval()
         self._dispatch.log.info(
             "stream_continues",
             request_id=self._request.request_id,
@@ -193,7 +192,7 @@
         )
 
     async def _relay_events(self, answer: RelayAnswer) -> bool:
-        """Give events on until the answer ends; return whether it ended well."""
+        """Pass on events until the answer ends; return whether the stream is complete."""
         splitter = EventSplitter()
         try:
             while data := await self._read(answer):
@@ -209,25 +208,28 @@
         except TimeoutError as error:
             raise StreamCutError("stream_timeout") from error
         if splitter.rest:
-            self._on_broken("the last event is not whole")
+            self._on_broken("stream ended within an event")
             return False
         self._dispatch.outcomes.record_success(self._request, self._places.home)
         return True
 
     async def _write(self, ready: bytes) -> None:
-        """Give events to the caller; where it keeps them waiting, that shows no pace."""
+        """Write events to the caller; discard the interval measurement if that takes long."""
         given_at = self._dispatch.now()
         await self._sink.write(ready)
         if self._dispatch.now() - given_at >= SLOW_WRITE_S:
-            self._reset_rhythm()
+            self._reset_interval()
 
-    def _reset_rhythm(self) -> None:
-        """Forget the look at the rhythm, and the next one: what was held up comes at once."""
+    def _reset_interval(self) -> None:
+        """Discard the current and the next measurement, since delayed events come in a burst."""
         self._had_unread_prompts = True
-        self._rhythm.reset()
+        self._interval_meter.reset()
 
     async def _read(self, answer: RelayAnswer) -> bytes:
-        """Return the next bytes; a silence that a copy can end is a break."""
+        """Return the next bytes.
+
+        If there is a copy to resume from, a long silence counts as a broken connection.
+        """
         if self._merger.last_event_number < 0 or not self._places.has_copy:
             return await answer.read()
         try:
@@ -260,12 +262,12 @@
         self._dispatch.outcomes.record_broken(self._request, replica, self._sent_at, begun)
 
     def _note_pause(self) -> None:
-        """Log a pause between events that is longer than the route promises."""
+        """Record the pause before an event; log it if it exceeds the limit of the route."""
         now = self._dispatch.now()
         pause = self._times.note(self._merger.last_event_number, now)
-        event_s = self._rhythm.record(self._merger.last_event_number, now)
+        event_s = self._interval_meter.record(self._merger.last_event_number, now)
         if event_s is not None:
-            self._note_rhythm(event_s)
+            self._record_interval(event_s)
         if self._no_event_since_move:
             self._no_event_since_move = False
             self._log_stream_joined(pause)
@@ -280,8 +282,8 @@
             pause_ms=round(pause * 1000.0),
         )
 
-    def _note_rhythm(self, event_s: float) -> None:
-        """Note the time between two events where no prompt was read since the look began."""
+    def _record_interval(self, event_s: float) -> None:
+        """Record the event interval if the primary had no unread prompts at its start and end."""
         home = self._places.home
         read_before, self._had_unread_prompts = (
             self._had_unread_prompts,
@@ -301,7 +303,7 @@
         )
 
     def _log_delivered(self) -> None:
-        """Log how a whole stream went, in the terms that its route promises."""
+        """Log the timing of a complete stream beside the objectives of its route."""
         times = self._times
         self._dispatch.log.info(
             "stream_delivered",
--- a/reachlink/requests/_whole_answers.py
+++ b/reachlink/requests/_whole_answers.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is read whole, checked, and only then given."""
+"""Requests whose answer is read completely and checked before it is passed on."""
 
 import asyncio
 
@@ -15,27 +15,27 @@
     UpstreamUnreachableError,
 )
 
-# How long a replica may take for a repeatable request before another is asked,
-# as a multiple of the route's objective.
+# Time after which a repeatable request is sent to another replica, as a multiple of the objective
+# of the route.
 SLOW_REPLICA_OBJECTIVES = 1.0
-# HTTP statuses from here on are faults of the replica (RFC 9110, section 15.6).
+# First HTTP status that means a server error (RFC 9110, section 15.6).
 SERVER_ERROR = 500
 
 
 class WholeRunner:
-    """Carries requests with whole answers.
+    """Runs requests whose answers are passed on as a whole.
 
     Parameters
     ----------
     dispatch : RequestDispatcher
-        Places and sends them.
+        Places and sends the requests.
     """
 
     def __init__(self, dispatch: RequestDispatcher) -> None:
         self._dispatch = dispatch
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
-        """Carry one request to its end."""
+        """Run one request to its end."""
         attempts = self._dispatch.retry_policy.begin(request)
         tried: set[str] = set()
         fallback: tuple[AnswerHead, bytes] | None = None
@@ -48,14 +48,14 @@
             finally:
                 self._dispatch.flights.remove(replica, flight)
             if isinstance(result, tuple):
-                # Given to the caller where no other replica has a better answer.
+                # Passed on to the caller if no other replica gives a better answer.
                 fallback = result
                 _record_buffered(request, fallback[1])
                 if fallback[0].status < SERVER_ERROR or not request.route.may_repeat:
                     break
                 result = AttemptFailure.FAILED
             if result is AttemptFailure.LIMITED:
-                # Others had the permit: it may get this request a moment later.
+                # Other requests used up the permits; the replica may take this one later.
                 tried.discard(replica.name)
             if not self._dispatch.retry_policy.may_retry(request, replica, result, attempts):
                 break
@@ -67,9 +67,9 @@
     async def _attempt(
         self, request: CallerRequest, replica: Replica, attempts: AttemptLog, previous_bytes: int
     ) -> tuple[AnswerHead, bytes] | AttemptFailure:
-        """Return the whole answer of one replica, or why there is none.
+        """Return the answer of one replica, or why there is none.
 
-        The failure of one before is kept meanwhile, of so many bytes.
+        `previous_bytes` is the size of the answer of an earlier attempt that is still buffered.
         """
         fingerprint = request.relay.fingerprint
         may_retry = attempts.may_repeat and attempts.sent + 1 < attempts.max_attempts
@@ -111,18 +111,18 @@
 
 
 def _record_buffered(request: CallerRequest, body: bytes) -> None:
-    """Count an answer that is kept: one before it is kept no longer."""
+    """Account for the answer that is kept; an earlier one is dropped."""
     if request.caller_buffer is not None:
         request.caller_buffer.set_size(BufferKind.ANSWER, len(body))
 
 
 class _BufferWait:
-    """The wait of an answer for room here, which is no slowness of its replica.
+    """Wait of an answer for buffer space here, which must not count as slowness of the replica.
 
     Parameters
     ----------
     scope : asyncio.Timeout
-        What measures the replica.
+        Timeout for the answer of the replica.
     """
 
     def __init__(self, scope: asyncio.Timeout) -> None:
@@ -131,11 +131,11 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the answer had to wait."""
+        """Whether the answer had to wait for buffer space."""
         return self._begun
 
     def begin(self) -> None:
-        """Measure the replica no longer."""
+        """Cancel the timeout, because the time is no longer that of the replica alone."""
         self._begun = True
         if not self._scope.expired():
             self._scope.reschedule(None)
--- a/reachlink/requests/exceptions.py
+++ b/reachlink/requests/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the way of a request."""
+"""Errors of the request lifecycle."""
 
 from reachlink.delivery import Outcome
 from reachlink.kernel import ReachlinkError
@@ -7,24 +7,24 @@
 
 
 class RequestsError(ReachlinkError):
-    """Base class of the errors of this layer."""
+    """Base class of the errors of the request lifecycle."""
 
 
 class RequestFailedError(RequestsError):
-    """A request gets a final answer of the system's own.
+    """The request failed, and reachlink itself gives its final answer.
 
     Parameters
     ----------
     status : int
-        HTTP status; 429 and 503 promise that the request did not run.
+        HTTP status; 429 and 503 guarantee that the request did not run.
     reason : str
-        Short code for logs and metrics, such as ``no_replica``.
+        Short code for logs and metrics, for example ``no_replica``.
     outcome : Outcome
-        Whether it may have run.
+        Whether the request may have run.
     retry_after_s : float, optional
-        When to come back, in seconds.
+        Time in seconds after which the caller should retry.
     message : str, optional
-        What the caller is told besides; the reason where there is none.
+        Message in the body of the answer; `reason` if empty.
     """
 
     def __init__(
@@ -44,7 +44,9 @@
 
 
 class StreamCutError(RequestsError):
-    """A stream that has begun cannot be finished: it must not look complete.
+    """A started stream cannot be completed, so its connection must be aborted.
+
+    A regular end of the body would make the stream look complete.
 
     Parameters
     ----------
