--- a/reachlink/scheduling/tests/show_crowd.py
+++ b/reachlink/scheduling/tests/show_crowd.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from reachlink.scheduling.tests.crowd import SUMMARY, VERDICT, Asked, ByZone, Crowd
-from reachlink.scheduling.tests.test_line_load import OTHERS, in_time, is_a, played, worth
+from reachlink.scheduling.tests.test_queue_load import OTHERS, in_time, is_a, played, worth
 
 
 def is_small(asked: Asked) -> bool:
--- a/reachlink/scheduling/tests/test_returns.py
+++ b/reachlink/scheduling/tests/test_caller_retries.py
@@ -31,7 +31,7 @@
     return book.record_outcome(None, fingerprint, "chat", need, refuse, at)
 
 
-def test_who_comes_back_in_its_time_gets_its_age_back(book):
+def test_timely_retry_is_credited_with_its_age(book):
     assert tell(book) == REFUSED
     back_at = 100.0 + IN_S + 0.2
     need = with_caller_retry(NEED, book.claim(ONE, back_at), back_at)
@@ -39,7 +39,7 @@
     assert need.is_announced_retry
 
 
-def test_who_comes_early_gains_nothing_and_loses_nothing(book):
+def test_early_retry_keeps_its_reservation_and_retry_time(book):
     tell(book)
     assert book.claim(ONE, 101.0) is None
     assert with_caller_retry(NEED, None, 101.0) == NEED
@@ -48,26 +48,26 @@
     assert book.claim(ONE, 100.0 + IN_S) is not None
 
 
-def test_who_asks_twice_finds_its_promise_taken(book):
+def test_reservation_is_claimed_only_once(book):
     tell(book)
     assert book.claim(ONE, 104.0) is not None
     assert book.claim(ONE, 104.0) is None
 
 
-def test_who_comes_too_late_finds_nothing(book):
+def test_reservation_expires(book):
     tell(book)
     assert book.claim(ONE, 100.0 + IN_S + returns.EXPIRY_DELAY_S) is None
     assert book.counts.missed == 1
     assert len(book) == 0
 
 
-def test_nobody_comes_in_the_place_of_another(book):
+def test_reservation_of_another_request_cannot_be_claimed(book):
     tell(book)
     assert book.claim(OTHER, 104.0) is None
     assert book.claim(ONE, 104.0) is not None
 
 
-def test_who_cannot_be_known_again_is_promised_nothing(book):
+def test_request_without_fingerprint_gets_no_reservation(book):
     assert tell(book, fingerprint=0) == replace_kept(REFUSED)
     assert len(book) == 0
     assert book.claim(0, 104.0) is None
@@ -77,7 +77,7 @@
     return Refuse(refuse.retry_after_s, refuse.reason, place_reserved=False)
 
 
-def test_promises_kept_and_broken_are_counted(book):
+def test_kept_broken_and_missed_reservations_are_counted(book):
     for fingerprint, start in [(1, Begin("r")), (2, Begin("r")), (3, REFUSED), (4, Wait(1.0))]:
         tell(book, fingerprint)
         reservation = book.claim(fingerprint, 104.0)
@@ -97,7 +97,7 @@
     assert counts.refused == {RefusalReason.OVER_SHARE: 6}
 
 
-def test_who_comes_early_and_begins_leaves_no_place_behind(book):
+def test_early_retry_that_starts_drops_its_reservation(book):
     tell(book)
     assert book.record_outcome(None, ONE, "chat", NEED, Wait(1.0), 101.0) == Wait(1.0)
     assert book.reserved_tokens("chat", 101.0) == NEED.tokens
@@ -107,7 +107,7 @@
     assert book.counts.missed == 0
 
 
-def test_what_is_given_back_is_there_for_who_asks_again_at_once(book):
+def test_restored_reservation_can_be_claimed_at_once(book):
     tell(book)
     reservation = book.claim(ONE, 104.0)
     book.restore(reservation, 110.0)
@@ -119,7 +119,7 @@
     assert book.claim(ONE, 111.0 + returns.EXPIRY_DELAY_S) is None
 
 
-def test_a_time_without_a_place_is_no_promise_of_one(book):
+def test_refusal_without_reserved_place_reserves_no_memory(book):
     tell(book, refuse=NO_PLACE)
     assert book.reserved_tokens("chat", 100.0) == 0
     reservation = book.claim(ONE, 104.0)
@@ -128,7 +128,7 @@
     assert (book.counts.kept, book.counts.broken) == (0, 0)
 
 
-def test_memory_for_those_who_were_told_is_counted_until_they_come_or_are_late(book):
+def test_reserved_memory_is_counted_until_claim_or_expiry(book):
     tell(book, ONE)
     tell(book, OTHER)
     assert book.reserved_tokens("chat", 101.0) == 2 * NEED.tokens
@@ -138,7 +138,7 @@
     assert book.reserved_tokens("chat", 120.0) == 0
 
 
-def test_the_age_of_who_is_refused_again_and_again_grows_up_to_a_bound(book):
+def test_credited_age_of_repeated_refusals_is_bounded(book):
     now, need = 100.0, NEED
     for _ in range(40):
         tell(book, at=now, need=need)
@@ -147,7 +147,7 @@
     assert need.waited_s == returns.MAX_CREDITED_AGE_S
 
 
-def test_one_workspace_is_promised_so_much_and_no_more(book):
+def test_reservations_per_workspace_are_bounded(book):
     most = returns.MAX_PER_WORKSPACE
     told = [tell(book, fingerprint) for fingerprint in range(1, most + 2)]
     assert all(refuse.place_reserved for refuse in told[:-1])
@@ -156,7 +156,7 @@
     assert tell(book, most + 9, need=other).place_reserved
 
 
-def test_their_number_is_bounded_and_what_ends_first_goes(book):
+def test_number_of_reservations_is_bounded_and_earliest_expiry_is_dropped(book):
     for number in range(returns.MAX_RESERVATIONS + 1):
         need = Need(tokens=1, workspace=str(number % 100))
         tell(book, number + 1, 100.0 + number * 1e-5, need=need)
@@ -166,7 +166,7 @@
     assert book.claim(2, 104.0) is not None
 
 
-def test_what_is_taken_leaves_nothing_behind(book):
+def test_claimed_reservations_leave_nothing_behind(book):
     for number in range(3 * returns.MAX_RESERVATIONS):
         tell(book, number + 1, 100.0)
         book.claim(number + 1, 100.0 + IN_S)
--- a/reachlink/scheduling/tests/test_loss.py
+++ b/reachlink/scheduling/tests/test_loss.py
@@ -14,12 +14,12 @@
     choose_replica,
 )
 
-QUICK = Pace(steady=0.55, slow_factor=2.5, slow_share=0.15, age_s=0.0)
+FAST = Pace(steady=0.55, slow_factor=2.5, slow_share=0.15, age_s=0.0)
 SLOW = Pace(steady=1.2, slow_factor=2.5, slow_share=0.15, age_s=0.0)
 SLOW_NOW = Pace(steady=1.2, momentary=2.5, slow_factor=2.5, slow_share=0.15, age_s=0.0)
 USUAL_NOW = Pace(age_s=0.0)
-DRAFT = Need(3827, 3079, first_event_due_in_s=1.8, max_pause_s=0.18)
-CHECK = Need(2558, 2550, first_event_due_in_s=1.5, max_pause_s=0.18)
+LONG_ANSWER = Need(3827, 3079, first_event_due_in_s=1.8, max_pause_s=0.18)
+SHORT_ANSWER = Need(2558, 2550, first_event_due_in_s=1.5, max_pause_s=0.18)
 
 
 def engine(
@@ -46,78 +46,83 @@
     return start.replica
 
 
-def test_a_long_answer_goes_to_the_quick_though_it_is_fuller():
-    assert best(DRAFT, engine("quick", QUICK, drafts=5), engine("slow", SLOW)) == "quick"
+def test_long_answer_goes_to_fast_engine_although_it_is_fuller():
+    assert best(LONG_ANSWER, engine("quick", FAST, drafts=5), engine("slow", SLOW)) == "quick"
 
 
-def test_a_long_answer_goes_to_a_slow_one_where_the_quick_have_no_room():
-    assert best(DRAFT, engine("quick", QUICK, drafts=7), engine("slow", SLOW)) == "slow"
+def test_long_answer_goes_to_slow_engine_if_fast_one_is_full():
+    assert best(LONG_ANSWER, engine("quick", FAST, drafts=7), engine("slow", SLOW)) == "slow"
 
 
-def test_a_slow_one_carries_fewer_rather_than_none():
+def test_slow_engine_with_fewer_long_answers_is_preferred():
     options = [engine("many", SLOW, drafts=4), engine("few", SLOW, drafts=1)]
-    assert best(DRAFT, *options) == "few"
+    assert best(LONG_ANSWER, *options) == "few"
     options = [engine("bad", SLOW_NOW, drafts=4), engine("none", SLOW)]
-    assert best(DRAFT, *options) == "none"
+    assert best(LONG_ANSWER, *options) == "none"
 
 
-def test_a_second_long_answer_leaves_those_without_any_to_the_short_ones():
-    assert best(DRAFT, engine("one", SLOW, drafts=1), engine("none", SLOW)) == "one"
+def test_second_long_answer_leaves_engine_without_long_answers_to_short_ones():
+    assert best(LONG_ANSWER, engine("one", SLOW, drafts=1), engine("none", SLOW)) == "one"
 
 
-def test_a_short_answer_is_read_where_no_long_one_runs():
-    options = [engine("quick", QUICK), engine("busy", SLOW, drafts=1), engine("slow", SLOW)]
-    assert best(CHECK, *options) == "slow"
+def test_short_answer_goes_where_no_long_answer_runs():
+    options = [engine("quick", FAST), engine("busy", SLOW, drafts=1), engine("slow", SLOW)]
+    assert best(SHORT_ANSWER, *options) == "slow"
 
 
-def test_a_short_answer_is_read_at_the_quick_where_the_slow_have_long_ones():
-    assert best(CHECK, engine("quick", QUICK, drafts=3), engine("slow", SLOW, drafts=1)) == "quick"
+def test_short_answer_goes_to_fast_engine_if_slow_ones_run_long_answers():
+    assert (
+        best(SHORT_ANSWER, engine("quick", FAST, drafts=3), engine("slow", SLOW, drafts=1))
+        == "quick"
+    )
 
 
-def test_a_prompt_is_not_read_beside_others_in_a_bad_moment():
+def test_prompt_avoids_long_answers_at_engine_in_slow_phase():
     options = [engine("bad", SLOW_NOW, drafts=1), engine("good", SLOW, drafts=1)]
-    assert best(CHECK, *options) == "good"
+    assert best(SHORT_ANSWER, *options) == "good"
 
 
-def test_where_nowhere_holds_it_goes_where_the_loss_is_least():
+def test_least_loss_is_chosen_if_pauses_are_too_long_everywhere():
     options = [engine("many", SLOW_NOW, drafts=5), engine("few", SLOW_NOW, drafts=2)]
-    assert best(DRAFT, *options) == "few"
+    assert best(LONG_ANSWER, *options) == "few"
 
 
-def test_a_first_event_that_would_be_late_counts():
-    options = [engine("queue", QUICK, unread=20_000), engine("slow", SLOW)]
-    assert best(CHECK, *options) == "slow"
-    assert best(DRAFT, engine("queue", QUICK, unread=30_000), engine("slow", SLOW)) == "slow"
+def test_engine_with_late_first_event_is_avoided():
+    options = [engine("queue", FAST, unread=20_000), engine("slow", SLOW)]
+    assert best(SHORT_ANSWER, *options) == "slow"
+    assert best(LONG_ANSWER, engine("queue", FAST, unread=30_000), engine("slow", SLOW)) == "slow"
 
 
-def test_another_zone_is_taken_where_the_gain_is_worth_it():
-    assert best(DRAFT, engine("near", QUICK, drafts=4), engine("far", QUICK, near=False)) == "near"
-    assert best(DRAFT, engine("near", SLOW), engine("far", QUICK, near=False)) == "far"
-    assert best(CHECK, engine("near", SLOW), engine("far", SLOW, near=False)) == "near"
+def test_other_zone_is_chosen_only_for_a_sufficient_gain():
+    assert (
+        best(LONG_ANSWER, engine("near", FAST, drafts=4), engine("far", FAST, near=False)) == "near"
+    )
+    assert best(LONG_ANSWER, engine("near", SLOW), engine("far", FAST, near=False)) == "far"
+    assert best(SHORT_ANSWER, engine("near", SLOW), engine("far", SLOW, near=False)) == "near"
 
 
-def test_a_generation_that_moves_prefers_the_quick():
+def test_resumed_generation_prefers_fast_engine():
     need = Need(tokens=3453, max_pause_s=0.18)
-    options = [engine("slow", SLOW), engine("quick", QUICK, drafts=4)]
+    options = [engine("slow", SLOW), engine("quick", FAST, drafts=4)]
     assert choose_replica(options, need.tokens, Random(1), DEPARTURE_COPY_RULES, need) == "quick"
 
 
-def test_it_does_not_join_beside_a_reading_where_a_pause_would_be_too_long():
+def test_resumed_generation_avoids_unread_prompts_at_engine_in_slow_phase():
     need = Need(tokens=3453, max_pause_s=0.18)
     options = [engine("reads", SLOW_NOW, unread=5000), engine("rests", SLOW_NOW)]
     assert choose_replica(options, need.tokens, Random(1), DEPARTURE_COPY_RULES, need) == "rests"
 
 
-@pytest.mark.parametrize("need", [DRAFT, CHECK])
-def test_those_that_are_alike_share_what_comes(need):
-    options = [engine(str(n), QUICK, drafts=1) for n in range(10)]
+@pytest.mark.parametrize("need", [LONG_ANSWER, SHORT_ANSWER])
+def test_equal_engines_share_the_requests(need):
+    options = [engine(str(n), FAST, drafts=1) for n in range(10)]
     random = Random(5)
     names = [choose_replica(options, need.tokens, random, need=need) for _ in range(500)]
     assert all(25 <= names.count(o.name) <= 90 for o in options)
 
 
-@pytest.mark.parametrize("need", [DRAFT, CHECK])
-def test_replicas_of_unknown_pace_are_chosen_as_without_a_need(need):
+@pytest.mark.parametrize("need", [LONG_ANSWER, SHORT_ANSWER])
+def test_engines_of_unknown_pace_are_chosen_by_memory_alone(need):
     options = [engine(str(n), None, drafts=n % 4, unread=700 * n) for n in range(10)]
     for seed in range(20):
         with_need = choose_replica(options, need.tokens, Random(seed), need=need)
@@ -128,7 +133,7 @@
     return ReplicaOption(name, near, running, 6, pace=pace)
 
 
-def test_a_call_goes_where_its_answer_is_expected_first():
+def test_call_goes_where_its_answer_is_expected_first():
     slow = Pace(steady=2.5, age_s=0.0)
     assert best(Need(), plain("slow", 0, slow), plain("full", 6, USUAL_NOW)) == "full"
     assert best(Need(), plain("slow", 0, slow), plain("queue", 16, USUAL_NOW)) == "slow"
@@ -138,11 +143,11 @@
     )
 
 
-def test_a_call_prefers_its_own_zone_among_those_alike():
+def test_call_prefers_own_zone_among_equal_replicas():
     assert best(Need(), plain("far", 1, Pace(), near=False), plain("near", 1, USUAL_NOW)) == "near"
 
 
-def test_counts_of_a_moment_ago_say_nothing_and_own_calls_always_count():
+def test_old_request_counts_are_ignored_but_own_calls_count():
     old, silent = Pace(age_s=0.5), Pace(age_s=3.0)
     options, random = [plain("a", 6, old), plain("b", 0, old)], Random(1)
     choices = [choose_replica(options, 0, random, need=Need()) for _ in range(200)]
--- a/reachlink/scheduling/tests/test_paces.py
+++ b/reachlink/scheduling/tests/test_paces.py
@@ -38,36 +38,36 @@
 
 
 @pytest.mark.parametrize("steady", [0.55, 1.2, 1.0, 0.8])
-def test_the_first_figure_counts_at_once(steady):
+def test_first_report_is_used_at_once(steady):
     assert told([steady], kin=ServicePace()).steady == steady
     assert told([steady]).steady == steady
 
 
 @pytest.mark.parametrize("first,steady", [(1.375, 0.55), (3.0, 1.2), (2.5, 1.0)])
-def test_a_bad_moment_at_first_is_known_by_what_others_tell(first, steady):
+def test_first_report_in_slow_phase_is_recognized_by_other_replicas(first, steady):
     kin = ServicePace((0.55, 1.0, 1.2), 2.5, 0.15)
     estimate = told([first], kin=kin)
     assert estimate.steady == pytest.approx(steady)
     assert estimate.pace(10.0).momentary == pytest.approx(2.5)
 
 
-def test_a_bad_moment_at_first_is_forgotten_with_the_first_good_figure():
+def test_first_report_in_slow_phase_is_corrected_by_next_report():
     estimate = told([3.0, 1.2], kin=ServicePace())
     assert (estimate.steady, estimate.pace(10.3).momentary) == (1.2, 1.0)
 
 
-def test_a_machine_that_is_slower_than_all_others_is_believed_after_a_second():
+def test_machine_slower_than_all_others_is_recognized_within_a_second():
     assert told([4.0, 4.0, 4.0, 4.0, 4.0]).steady == 4.0
 
 
-def test_a_moment_fades_within_half_a_second():
+def test_momentary_factor_decays_with_its_half_life():
     estimate = told([1.0, 1.0, 1.0, 1.0, 2.5])
     moments = [estimate.pace(11.2 + age).momentary for age in (0.0, 0.25, 0.5, 2.0)]
     assert moments == pytest.approx([2.5, 1.75, 1.375, 1.0])
 
 
 @pytest.mark.parametrize("kin,first,most_off", [(KIN, 0, 0.01), (ServicePace(), 12, 0.01)])
-def test_what_lasts_is_found_at_every_kind_of_machine_whatever_their_moments(kin, first, most_off):
+def test_steady_pace_is_found_for_each_kind_of_machine_despite_slow_phases(kin, first, most_off):
     off = looked = 0
     for seed in range(300):
         random = Random(seed)
@@ -82,7 +82,7 @@
     assert off <= most_off * looked
 
 
-def test_bad_moments_are_learned():
+def test_slow_phases_are_learned():
     random = Random(7)
     machine = Machine(1.2, random)
     estimate = PaceEstimate()
@@ -93,7 +93,7 @@
     assert pace.slow_share == pytest.approx(0.15, abs=0.05)
 
 
-def test_a_lasting_change_is_followed_in_seconds():
+def test_lasting_change_of_pace_is_followed_within_seconds():
     estimate = told([0.55] * 40)
     for number in range(20):
         estimate.record_reported(1.2, 30.0 + 0.3 * number)
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.parametrize("lie,truth", [(0.55, 1.2), (0.55, 2.5), (1.2, 0.55)])
-def test_a_frozen_pace_is_outweighed_by_what_is_seen(lie, truth):
+def test_measurements_replace_a_frozen_report(lie, truth):
     estimate = PaceEstimate(KIN)
     for number in range(3):
         estimate.record_reported(lie, 10.0 + 0.3 * number)
@@ -113,7 +113,7 @@
     assert estimate.steady == pytest.approx(truth, rel=0.01)
 
 
-def test_what_is_seen_roughly_as_told_changes_nothing():
+def test_measurements_close_to_the_report_change_nothing():
     random = Random(3)
     estimate = PaceEstimate(KIN)
     for number in range(100):
@@ -123,11 +123,11 @@
 
 
 @pytest.mark.parametrize("pace,bounded", [(0.01, 0.25), (99.0, 8.0)])
-def test_no_figure_empties_or_draws_the_fleet(pace, bounded):
+def test_reported_pace_is_bounded(pace, bounded):
     assert told([pace] * 9, kin=ServicePace()).steady == bounded
 
 
-def test_without_a_told_pace_what_is_seen_shows_a_slow_replica_within_a_second():
+def test_slow_replica_without_reports_is_recognized_by_measurements_within_a_second():
     random = Random(5)
     book = PaceTracker()
     book.record_reported(APP, "r0", 1.0, 0.0)
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("took_s", [30.0, 3600.0])
-def test_one_call_out_of_all_measure_changes_nothing_that_lasts(took_s):
+def test_one_extreme_call_does_not_change_the_steady_pace(took_s):
     """The machine slept meanwhile, or the call was of another kind than all others."""
     book = PaceTracker()
     calls_every(book, 0.0)
@@ -154,7 +154,7 @@
         assert after.slow_factor <= worst and after.steady == pytest.approx(before.steady, rel=0.05)
 
 
-def test_one_call_out_of_all_measure_hides_no_other():
+def test_one_extreme_call_does_not_make_others_look_fast():
     """What calls usually take is shifted by a tenth at the most: others seem no quicker."""
     book = PaceTracker()
     calls_every(book, 0.0)
@@ -177,7 +177,7 @@
     return PeerPace(Pace(steady, age_s=received_at - observed_at), received_at)
 
 
-def test_what_others_tell_counts_until_own_figures_come():
+def test_estimates_of_peers_count_until_own_reports_arrive():
     estimate = PaceEstimate(KIN)
     assert estimate.record_peer(heard(0.55, 9.0, 10.0))
     assert (estimate.steady, estimate.pace(11.0).age_s) == (0.55, 2.0)
@@ -188,7 +188,7 @@
     assert estimate.steady == 0.8
 
 
-def test_an_older_observation_never_replaces_a_newer_one():
+def test_older_observation_of_peer_never_replaces_newer_one():
     estimate = PaceEstimate(KIN)
     assert estimate.record_peer(heard(0.55, 9.0, 10.0))
     assert not estimate.record_peer(heard(1.2, 8.9, 12.0))
@@ -196,7 +196,7 @@
     assert (estimate.steady, estimate.pace(13.0).age_s) == (0.55, 4.0)
 
 
-def test_own_figures_that_are_old_give_way():
+def test_newer_estimate_of_peer_replaces_old_own_reports():
     estimate = told([1.2] * 6)
     estimate.record_peer(heard(0.55, 14.0, 14.1))
     assert estimate.steady == 1.2
@@ -204,7 +204,7 @@
     assert estimate.steady == 0.55
 
 
-def test_a_new_lifetime_begins_anew():
+def test_restarted_replica_starts_with_nominal_pace():
     book = PaceTracker()
     for number in range(9):
         book.record_reported(APP, "r1", 1.2, float(number))
@@ -214,7 +214,7 @@
     assert book.pace("r1", 9.0).steady == 0.55
 
 
-def test_it_is_on_only_where_a_replica_tells_a_pace():
+def test_measurements_are_recorded_only_for_services_that_report_paces():
     book = PaceTracker()
     book.record_call(APP, "read", "r1", 0.1, 0.0)
     book.record_measured(APP, "r1", 2.0, 0.0)
@@ -228,14 +228,14 @@
     assert book.pace_if_reported(APP, "r9", 0.0) == Pace()
 
 
-def test_switched_off_it_stays_empty():
+def test_disabled_tracker_records_nothing():
     book = PaceTracker(enabled=False)
     book.record_reported(APP, "r1", 1.2, 0.0)
     book.record_peer(APP, "r1", heard(1.2, 0.0, 0.0), PaceSource.MEMBER, "m1", 0.0)
     assert (book.count, book.is_reported(APP)) == (0, False)
 
 
-def test_memory_is_bounded(monkeypatch):
+def test_numbers_of_replicas_and_call_kinds_are_bounded(monkeypatch):
     monkeypatch.setattr("reachlink.scheduling._pace_tracker.MAX_REPLICAS", 50)
     monkeypatch.setattr("reachlink.scheduling._pace_tracker.MAX_CALL_KINDS", 20)
     book = PaceTracker()
@@ -247,7 +247,7 @@
     assert book.count == 1
 
 
-def test_a_belief_that_does_not_change_is_no_news():
+def test_only_significant_changes_are_published():
     book, changes = PaceTracker(), []
     book.add_listener(changes.append)
     random = Random(2)
@@ -259,7 +259,7 @@
     assert changes[-1].pace.steady == 0.55 and len(changes) <= 4
 
 
-def test_news_are_told_oldest_first_and_a_few_at_a_time():
+def test_changes_are_returned_oldest_first_up_to_the_limit():
     book = PaceTracker()
     for number in range(5):
         book.record_reported(APP, f"r{number}", 1.0, 0.1 * number)
@@ -269,7 +269,7 @@
     assert book.changed_since(0, [PaceSource.MEASURED], limit=3)[1] == []
 
 
-def test_services_that_come_and_go_leave_a_bounded_book():
+def test_number_of_services_is_bounded():
     book = PaceTracker()
     for number in range(3 * MAX_SERVICES):
         book.record_reported(f"service {number}", "r1", 1.0, 0.1 * number)
--- a/reachlink/scheduling/tests/test_line_load.py
+++ b/reachlink/scheduling/tests/test_queue_load.py
@@ -57,12 +57,12 @@
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
 @pytest.mark.parametrize("way", OTHERS)
-def test_callers_get_more_of_what_they_need_than_by_another_way(way, crowding):
+def test_queue_yields_more_value_than_other_strategies(way, crowding):
     assert worth(played("line", crowding)) > worth(played(way, crowding))
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_a_more_urgent_kind_is_in_time_while_there_is_room_for_it(crowding):
+def test_urgent_kind_is_in_time_while_capacity_suffices_for_it(crowding):
     """All urgent ones ask for less than a sixth of the room, whatever the crowding here."""
     crowd = played("line", crowding)
     assert in_time(crowd, is_a(VERDICT)) >= 0.9
@@ -70,19 +70,19 @@
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_a_less_urgent_kind_is_not_starved(crowding):
+def test_less_urgent_kind_is_not_starved(crowding):
     """What is left over by the urgent is half of what they ask for and more, at 2.5 a third."""
     room_for = (1.0 - crowding * VERDICT.part) / (crowding * SUMMARY.part)
     assert in_time(played("line", crowding), is_a(SUMMARY)) >= 0.7 * room_for
 
 
-def test_small_workspaces_whose_share_there_is_room_for_are_in_time_beside_a_large_one():
+def test_small_workspaces_within_their_share_are_in_time_beside_a_large_one():
     crowd = played("line", 1.5)
     assert in_time(crowd, lambda asked: asked.workspace != "large") >= 0.9
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_small_workspaces_are_not_served_less_than_a_large_one(crowding):
+def test_small_workspaces_are_served_no_less_than_a_large_one(crowding):
     crowd = played("line", crowding)
     small = in_time(crowd, lambda asked: asked.workspace != "large")
     large = in_time(crowd, lambda asked: asked.workspace == "large")
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_the_largest_are_not_starved_for_fitting_less_often(crowding):
+def test_largest_requests_are_not_starved_although_they_fit_less_often(crowding):
     crowd = played("line", crowding)
     sizes = sorted(asked.tokens for asked in crowd.counted() if asked.kind is SUMMARY)
     middle = sizes[len(sizes) // 2]
@@ -104,13 +104,13 @@
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_nobody_is_pushed_out_by_who_was_let_in(crowding):
+def test_started_requests_cause_hardly_any_preemption(crowding):
     crowd = played("line", crowding)
     assert crowd.preempted <= 0.001 * len(crowd.asked)
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_room_is_used_while_somebody_waits(crowding):
+def test_capacity_is_used_while_requests_wait(crowding):
     """What is made comes to most of what engines can hold: waiting costs no room."""
     crowd = played("line", crowding)
     made = sum(asked.made for asked in crowd.asked if asked.kind is SUMMARY)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_nobody_waits_past_its_deadline_or_is_lost(crowding):
+def test_every_request_starts_or_is_refused_before_its_deadline(crowding):
     crowd = played("line", crowding)
     for asked in crowd.asked:
         over = asked.at + asked.kind.deadline_s <= LENGTH_S
@@ -129,14 +129,14 @@
         assert asked.refused_at is None or asked.refused_at < asked.at + asked.kind.deadline_s
 
 
-def test_with_room_for_all_nobody_fares_worse_than_without_a_line():
+def test_queue_does_no_harm_while_capacity_suffices():
     line = played("line", 0.8)
     assert worth(line) >= 0.97
     assert all(asked.refused_at is None for asked in line.asked)
 
 
 @pytest.mark.parametrize("crowding", [1.5, 2.5])
-def test_one_line_over_all_zones_serves_them_alike_whatever_their_load(crowding):
+def test_one_queue_over_all_zones_serves_them_equally_whatever_their_load(crowding):
     """With a line each, room goes to zones and not to those who wait: the fullest gets least."""
     load = (3.0, 1.0, 1.0, 1.0)
 
--- a/reachlink/scheduling/tests/test_refusal.py
+++ b/reachlink/scheduling/tests/test_refusal.py
@@ -32,11 +32,11 @@
     return Need(**{name: getattr(need, name) for name in need.__struct_fields__} | fields)
 
 
-def test_who_can_begin_before_its_deadline_waits_though_it_is_late():
+def test_late_request_that_can_end_before_its_deadline_waits():
     assert refusal_if_needed(NEED, line(20.0), Random(1)) is None
 
 
-def test_who_could_not_end_before_its_deadline_is_refused():
+def test_request_that_cannot_end_before_its_deadline_is_refused():
     latest_s = latest_start_s(NEED)
     assert 25.0 < latest_s < NEED.give_up_in_s
     assert refusal_if_needed(NEED, line(latest_s - 0.1), Random(1)) is None
@@ -45,13 +45,13 @@
     assert not refused.place_reserved
 
 
-def test_nobody_is_refused_for_a_wait_that_nobody_has_measured():
+def test_no_request_is_refused_while_grant_rate_is_unknown():
     unknown = QueueState(500, 10_000_000)
     assert refusal_if_needed(NEED, unknown, Random(1)) is None
     assert make_refusal(NEED, unknown, RefusalReason.LINE_FULL, Random(1)).place_reserved is False
 
 
-def test_a_workspace_over_its_share_is_refused_first():
+def test_workspace_over_its_share_is_refused_first():
     crowded_s = rules.OVERLOAD_SHARE * NEED.first_event_due_in_s
     assert refusal_if_needed(NEED, line(crowded_s - 0.1, over_share=True), Random(1)) is None
     refused = refusal_if_needed(NEED, line(crowded_s + 0.1, over_share=True), Random(1))
@@ -61,12 +61,12 @@
     assert refusal_if_needed(NEED, line(5.0), Random(1)) is None
 
 
-def test_who_has_come_back_is_not_refused_for_its_workspace_again():
+def test_announced_retry_is_not_refused_for_its_workspace_share():
     returner = changed(is_announced_retry=True)
     assert refusal_if_needed(returner, line(5.0, over_share=True), Random(1)) is None
 
 
-def test_places_that_are_promised_are_not_given_to_newcomers():
+def test_reserved_capacity_is_not_given_to_new_requests():
     few, many = line(1.0, told_tokens=1000), line(1.0, told_tokens=500_000)
     assert expected_wait_s(NEED, few) == pytest.approx(1.05)
     # They do not come all at once: each has its slot.
@@ -74,7 +74,7 @@
     assert expected_wait_s(changed(is_announced_retry=True), many) == pytest.approx(1.0)
 
 
-def test_no_more_is_promised_than_its_part_of_the_room_that_comes():
+def test_reservations_are_limited_to_their_share_of_the_capacity():
     promised_s = rules.MAX_RETRY_AFTER_S * DRAIN * rules.RESERVED_SHARE
     patient = changed(give_up_in_s=math.inf)
     told = line(1.0, told_tokens=round(promised_s) - NEED.tokens - 5000)
@@ -86,7 +86,7 @@
 @pytest.mark.parametrize("drain", [0.0, 1e-300, 0.1, 1000.0])
 @pytest.mark.parametrize("give_up_in_s", [-1.0, 0.0, 0.2, 39.0, math.inf])
 @pytest.mark.parametrize("reason", list(RefusalReason))
-def test_times_are_finite_and_bounded(drain, give_up_in_s, reason):
+def test_retry_times_are_finite_and_bounded(drain, give_up_in_s, reason):
     need = changed(give_up_in_s=give_up_in_s)
     state = QueueState(10, 100_000, drain, 50_000)
     assert math.isfinite(expected_wait_s(need, state))
@@ -95,13 +95,13 @@
     assert told_s <= max(rules.MIN_RETRY_AFTER_S, rules.RESPECTED_SHARE * give_up_in_s)
 
 
-def test_a_time_with_a_place_is_not_before_the_place():
+def test_retry_time_with_reservation_is_not_before_the_expected_capacity():
     for seed in range(50):
         refused = make_refusal(NEED, line(5.0), RefusalReason.LINE_FULL, Random(seed))
         assert refused.place_reserved and 5.0 <= refused.retry_after_s <= 5.5
 
 
-def test_those_who_are_told_one_after_the_other_get_slots_of_their_own():
+def test_successive_reservations_are_spread_over_time():
     random, told_tokens, times = Random(1), 0, []
     for _ in range(4):
         refused = make_refusal(NEED, line(0.5, told_tokens), RefusalReason.LINE_FULL, random)
@@ -113,7 +113,7 @@
     assert all(gap > slot_s / 2 for gap in gaps)
 
 
-def test_those_who_are_told_the_bound_do_not_come_back_at_one_time():
+def test_maximum_retry_times_are_spread_by_jitter():
     random = Random(1)
     times = sorted(
         make_refusal(NEED, line(60.0), RefusalReason.NO_ROOM, random).retry_after_s
@@ -123,18 +123,18 @@
     assert times[-1] - times[0] > 1.0
 
 
-def test_what_one_workspace_leaves_goes_to_the_others():
+def test_unused_share_of_a_workspace_goes_to_the_others():
     asked = {"small": 10.0, "middle": 30.0, "large": 100.0}
     assert fair_share(asked, 100.0) == pytest.approx(60.0)
     assert [name for name in asked if is_over_share(name, asked, 100.0)] == ["large"]
 
 
-def test_where_there_is_enough_nobody_is_over_its_share():
+def test_no_workspace_is_over_its_share_if_capacity_suffices():
     assert fair_share({"large": 90.0, "small": 10.0}, 100.0) == math.inf
     assert not is_over_share("large", {"large": 90.0, "small": 10.0}, 100.0)
     assert not is_over_share("nobody", {}, 0.0)
 
 
-def test_of_equals_that_ask_for_more_than_there_is_all_are_over():
+def test_all_workspaces_of_equal_excess_demand_are_over_their_share():
     asked = {str(number): 50.0 for number in range(4)}
     assert all(is_over_share(name, asked, 100.0) for name in asked)
--- a/reachlink/scheduling/tests/test_line.py
+++ b/reachlink/scheduling/tests/test_request_queue.py
@@ -26,14 +26,14 @@
     return [waiting.request_id for waiting in line.order(now)]
 
 
-def test_among_equals_the_oldest_goes_first():
+def test_longest_waiting_request_goes_first_among_equals():
     line = RequestQueue()
     join(line, "second", 0.2)
     join(line, "first", 0.1)
     assert names(line, 0.3) == ["first", "second"]
 
 
-def test_who_asks_again_keeps_its_age():
+def test_repeated_join_keeps_position():
     line = RequestQueue()
     join(line, "first", 0.0)
     join(line, "second", 0.1)
@@ -42,35 +42,35 @@
     assert len(line) == 2
 
 
-def test_who_comes_back_counts_with_the_age_of_its_tries():
+def test_retry_is_credited_with_time_of_refused_attempts():
     line = RequestQueue()
     join(line, "new", 0.0)
     join(line, "back", 0.1, waited_s=3.0, is_announced_retry=True)
     assert names(line, 0.2) == ["back", "new"]
 
 
-def test_who_can_still_be_in_time_goes_before_who_can_only_be_late():
+def test_request_that_can_be_in_time_goes_before_late_one():
     line = RequestQueue()
     join(line, "late", 0.0, first_event_due_in_s=-1.0, priority=0)
     join(line, "in time", 0.1)
     assert names(line, 0.2) == ["in time", "late"]
 
 
-def test_one_whose_prompt_takes_longer_to_read_than_it_has_can_only_be_late():
+def test_request_is_late_if_its_prompt_takes_longer_than_remaining_time():
     line = RequestQueue()
     join(line, "long prompt", 0.0, first_event_due_in_s=0.3)
     join(line, "short prompt", 0.1, first_event_due_in_s=0.3, prompt_tokens=100)
     assert names(line, 0.1) == ["short prompt", "long prompt"]
 
 
-def test_the_more_urgent_goes_first():
+def test_more_urgent_request_goes_first():
     line = RequestQueue()
     join(line, "usual", 0.0)
     join(line, "urgent", 0.1, priority=1)
     assert names(line, 0.2) == ["urgent", "usual"]
 
 
-def test_the_workspace_that_was_granted_least_goes_first():
+def test_workspace_with_smallest_recent_grants_goes_first():
     line = RequestQueue()
     for number in range(3):
         join(line, f"large-{number}", 0.0, workspace="large")
@@ -80,7 +80,7 @@
     assert names(line, 0.3) == ["small", "large"]
 
 
-def test_what_was_granted_long_ago_counts_no_more():
+def test_old_grants_do_not_count():
     line = RequestQueue()
     join(line, "large-0", 0.0, workspace="large")
     line.grant("large-0", 0.0)
@@ -89,7 +89,7 @@
     assert names(line, 300.2) == ["large", "small"]
 
 
-def test_what_began_without_a_wait_counts_for_its_workspace():
+def test_immediate_starts_count_as_grants_of_their_workspace():
     line = RequestQueue()
     line.record_immediate_start(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
     line.record_immediate_start(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
@@ -98,7 +98,7 @@
     assert names(line, 0.2) == ["small", "large"]
 
 
-def test_the_less_urgent_get_their_part_whatever_the_urgent_ask_for():
+def test_less_urgent_requests_get_their_share_under_urgent_load():
     line = RequestQueue()
     granted = {1: 0, 5: 0}
     for number in range(400):
@@ -112,7 +112,7 @@
     assert part == pytest.approx(LOW_PRIORITY_SHARE, abs=0.03)
 
 
-def test_what_the_less_urgent_are_owed_is_not_kept_while_none_waits():
+def test_share_of_less_urgent_requests_does_not_accumulate_while_none_waits():
     line = RequestQueue()
     for number in range(100):
         join(line, f"urgent-{number}", 0.0, priority=1)
@@ -122,7 +122,7 @@
     assert names(line, 0.3) == ["urgent-99", "usual"]
 
 
-def test_one_that_was_passed_for_long_holds_room_back_for_a_while():
+def test_capacity_is_reserved_for_overtaken_request_for_limited_time():
     line = RequestQueue()
     join(line, "large", 0.0, tokens=20_000)
     waiting = line.find("large")
@@ -138,7 +138,7 @@
     assert waiting.reserves_room(over_at + 1.01 * MAX_OVERTAKEN_S)
 
 
-def test_who_is_not_asked_for_any_more_stands_in_line_no_longer():
+def test_request_without_renewed_lease_is_removed():
     line = RequestQueue()
     join(line, "gone", 0.0)
     join(line, "there", 0.0)
@@ -147,7 +147,7 @@
     assert names(line, LEASE_S) == ["there"]
 
 
-def test_nobody_stands_in_line_who_could_not_end_before_its_caller_leaves():
+def test_request_that_cannot_end_before_its_caller_leaves_is_removed():
     line = RequestQueue()
     join(line, "id-1", 0.0, give_up_in_s=9.0)
     runs_s = 9.0 - line.find("id-1").latest_start_at
@@ -158,7 +158,7 @@
     assert [w.request_id for w in line.expire(4.6)] == ["id-1"]
 
 
-def test_a_line_too_long_loses_the_youngest_of_the_late_first():
+def test_full_queue_sheds_youngest_late_request_first():
     line = RequestQueue(max_waiting=3)
     join(line, "late old", 0.0, first_event_due_in_s=-1.0)
     join(line, "late young", 0.1, first_event_due_in_s=-1.0)
@@ -170,7 +170,7 @@
     assert len(line) == 3
 
 
-def test_without_late_ones_a_line_too_long_loses_the_youngest_of_the_least_urgent():
+def test_full_queue_without_late_requests_sheds_youngest_of_least_urgent():
     line = RequestQueue(max_waiting=2)
     join(line, "usual old", 0.0)
     join(line, "usual young", 0.1)
@@ -178,7 +178,7 @@
     assert line.shed(0.2).request_id == "usual young"
 
 
-def test_a_large_workspace_does_not_fill_the_line():
+def test_full_queue_sheds_requests_of_workspace_with_largest_demand():
     line = RequestQueue(max_waiting=6)
     for number in range(6):
         join(line, f"large-{number}", 0.1 * number, workspace="large")
@@ -187,7 +187,7 @@
         assert line.shed(1.0).request_id == f"large-{5 - number}"
 
 
-def test_a_workspace_that_was_granted_most_makes_place_where_the_line_is_too_long():
+def test_full_queue_sheds_request_of_workspace_with_most_recent_grants():
     line = RequestQueue(max_waiting=2)
     for _ in range(3):
         line.record_immediate_start(msgspec.structs.replace(USUAL, workspace="large"), 0.0)
@@ -197,7 +197,7 @@
     assert line.shed(0.2).request_id == "large"
 
 
-def test_who_leaves_is_no_longer_before_others():
+def test_removed_request_is_not_counted_ahead_of_others():
     line = RequestQueue()
     join(line, "first", 0.0)
     join(line, "second", 0.1)
@@ -217,7 +217,7 @@
         line.grant(f"n{number}", now)
 
 
-def test_how_long_a_request_waits_is_told_by_what_goes_first_and_how_fast_room_comes():
+def test_state_holds_requests_ahead_and_grant_rate():
     line = RequestQueue()
     drained(line, 10, first_event_due_in_s=100.0)
     join(line, "id-1", 5.0, first_event_due_in_s=100.0)
@@ -226,7 +226,7 @@
     assert state.granted_tokens_per_s == pytest.approx(40_000, rel=0.1)
 
 
-def test_the_less_urgent_are_told_by_what_their_own_have_got():
+def test_grant_rate_is_that_of_the_same_priority():
     line = RequestQueue()
     join(line, "usual", 0.0, first_event_due_in_s=100.0)
     drained(line, 10, priority=1)
@@ -235,7 +235,7 @@
     assert state.granted_tokens_per_s < 2000
 
 
-def test_who_would_begin_late_is_told_by_what_late_ones_have_got():
+def test_request_that_would_become_late_is_estimated_by_rate_of_late_ones():
     line = RequestQueue()
     join(line, "late", 0.0, first_event_due_in_s=-1.0)
     for number in range(60):
@@ -248,7 +248,7 @@
     assert expected_wait_s(USUAL, state) > 120.0
 
 
-def test_nobody_is_refused_for_a_wait_that_is_not_known():
+def test_request_waits_while_grant_rate_is_unknown():
     line = RequestQueue()
     for number in range(50):
         join(line, f"waits-{number}", 0.0)
@@ -256,7 +256,7 @@
     assert isinstance(best_start([], USUAL, Random(1), state), Wait)
 
 
-def test_who_cannot_begin_while_its_caller_waits_is_refused_on_arrival():
+def test_request_that_cannot_start_before_its_caller_leaves_is_refused():
     line = RequestQueue()
     drained(line, 1)
     for number in range(60):
@@ -270,7 +270,7 @@
     assert not start.place_reserved
 
 
-def test_how_fast_room_came_in_a_crowd_long_ago_says_nothing_of_this_one():
+def test_grant_rate_of_an_earlier_overload_is_forgotten():
     line = RequestQueue()
     for number in range(5):
         join(line, f"stuck-{number}", 0.0, first_event_due_in_s=100.0)
@@ -286,7 +286,7 @@
     assert isinstance(best_start([], USUAL, Random(1), state), Wait)
 
 
-def test_a_crowd_that_pauses_for_a_moment_is_still_known():
+def test_grant_rate_survives_a_short_pause():
     line = RequestQueue()
     drained(line, 10, first_event_due_in_s=100.0)
     line.leave("last", 5.0)
@@ -296,7 +296,7 @@
     assert state.granted_tokens_per_s == pytest.approx(40_000, rel=0.15)
 
 
-def test_who_asks_for_more_than_its_share_of_what_comes_is_known():
+def test_state_tells_whether_workspace_is_over_its_share():
     line = RequestQueue()
     drained(line, 1, workspace="other", first_event_due_in_s=100.0)
     for number in range(30):
@@ -307,14 +307,14 @@
     assert not line.state_ahead_of(small, 5.2).over_share
 
 
-def test_nobody_is_over_its_share_while_it_is_not_known_how_fast_room_comes():
+def test_no_workspace_is_over_its_share_while_grant_rate_is_unknown():
     line = RequestQueue()
     for number in range(100):
         join(line, f"large-{number}", 0.0, workspace="large")
     assert not line.state_ahead_of(line.find("large-99"), 0.2).over_share
 
 
-def test_a_name_is_kept_for_a_bounded_number_of_workspaces():
+def test_number_of_workspaces_in_shares_is_bounded():
     shares = WorkspaceShares()
     shares.add("large", 1_000_000, 0.0)
     for number in range(2 * MAX_WORKSPACES):
@@ -323,7 +323,7 @@
     assert shares.rank("large", 0.0) == 250
 
 
-def test_a_bounded_number_of_urgencies_is_measured():
+def test_number_of_measured_classes_is_bounded():
     line = RequestQueue()
     for number in range(3 * MAX_CLASS_RATES):
         join(line, f"id-{number}", 0.0, priority=number)
@@ -332,7 +332,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
-def test_whatever_comes_and_goes_nobody_is_lost_or_there_twice(seed):
+def test_no_request_is_lost_or_duplicated_under_random_operations(seed):
     random = Random(seed)
     line = RequestQueue(max_waiting=20)
     there: set[str] = set()
--- a/reachlink/scheduling/tests/test_return_load.py
+++ b/reachlink/scheduling/tests/test_return_load.py
@@ -301,7 +301,7 @@
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_nine_of_ten_find_their_place_who_come_back_in_time(crowding):
+def test_nine_of_ten_timely_retries_get_their_reserved_place(crowding):
     kept = sum(p.book.counts.kept for p in plays(Way.PLACE_KEPT, crowding))
     broken = sum(p.book.counts.broken for p in plays(Way.PLACE_KEPT, crowding))
     assert kept >= 0.9 * (kept + broken)
@@ -311,21 +311,21 @@
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_who_asks_for_its_share_is_served_before_who_asks_for_half(crowding):
+def test_small_workspaces_are_served_before_one_that_demands_half(crowding):
     small = in_time(Way.PLACE_KEPT, crowding, SMALL)
     assert small > in_time(Way.PLACE_KEPT, crowding, ["large"])
     assert small > in_time(Way.AS_IT_STANDS, crowding, SMALL)
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_more_begin_in_time_than_as_it_stands(crowding):
+def test_more_requests_start_in_time_than_with_polling(crowding):
     everybody = ["large", *SMALL]
     now, before = (in_time(way, crowding, everybody) for way in (Way.PLACE_KEPT, Way.AS_IT_STANDS))
     assert now > before
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_they_do_not_all_return_at_one_time(crowding):
+def test_retries_are_spread_no_worse_than_with_polling(crowding):
     """No second sees more of them than as it stands."""
     for kept, before in zip(
         plays(Way.PLACE_KEPT, crowding), plays(Way.AS_IT_STANDS, crowding), strict=True
@@ -334,7 +334,7 @@
         assert most <= max(before.returns_by_second.values())
 
 
-def test_where_there_is_room_nobody_is_refused():
+def test_no_request_is_refused_while_capacity_suffices():
     played = Play(Way.PLACE_KEPT, 0.5, 1).play()
     assert not played.told
     assert len(played.book) == 0
--- a/reachlink/scheduling/tests/test_settings.py
+++ b/reachlink/scheduling/tests/test_settings.py
@@ -7,7 +7,7 @@
 
 
 @pytest.mark.parametrize("kind", [SchedulingSettings, SchedulingOverrides])
-def test_a_budget_below_nothing_is_no_setting(kind):
+def test_negative_buffer_size_is_rejected(kind):
     """It would refuse each body, and count nothing."""
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert({"held_bytes": -1}, kind)
--- a/reachlink/scheduling/tests/test_share_load.py
+++ b/reachlink/scheduling/tests/test_share_load.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_small_workspaces_get_what_they_would_get_beside_one_of_their_size(crowding):
+def test_small_workspaces_get_as_much_as_beside_a_workspace_of_their_size(crowding):
     small_part = (1.0 - LARGE_PART) / (WORKSPACES - 1)
     alike = crowds(InLine, crowding * WORKSPACES * small_part, 1.0 / WORKSPACES)
     played = [crowd for crowd, _ in by_shares(crowding)]
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_the_large_workspace_gets_no_less_than_without_a_line(crowding):
+def test_large_workspace_gets_no_less_than_without_a_queue(crowding):
     played = [crowd for crowd, _ in by_shares(crowding)]
     without = crowds(AsItStands, crowding, LARGE_PART)
     assert in_time(played, is_large) >= 0.95 * in_time(without, is_large)
@@ -62,13 +62,13 @@
 
 
 @pytest.mark.parametrize("crowding", CROWDED)
-def test_nobody_is_refused_while_a_place_is_free(crowding):
+def test_no_request_is_refused_while_a_replica_has_capacity(crowding):
     for _, way in by_shares(crowding):
         assert not any(free for _, _, free in way.refused)
 
 
 @pytest.mark.parametrize("large_part", [LARGE_PART, 1.0 / WORKSPACES])
-def test_where_there_is_room_for_all_nobody_is_refused_for_its_share(large_part):
+def test_no_request_is_refused_for_its_share_while_capacity_suffices(large_part):
     way = InLine()
     Crowd(way, 1.0, SEEDS[0], large_part, WORKSPACES).play()
     assert not any(reason is RefusalReason.OVER_SHARE for reason, _, _ in way.refused)
--- a/reachlink/scheduling/tests/test_start.py
+++ b/reachlink/scheduling/tests/test_start.py
@@ -16,17 +16,17 @@
 NEED = Need(tokens=3700, prompt_tokens=3000, first_event_due_in_s=4.0, give_up_in_s=39.0)
 
 
-def test_it_begins_where_there_is_room():
+def test_request_starts_at_replica_with_capacity():
     assert best_start([FULL, FREE], NEED, RANDOM) == Begin("free")
 
 
-def test_it_waits_for_room_that_comes_in_its_time():
+def test_request_waits_if_capacity_is_expected_in_time():
     start = best_start([FULL], NEED, RANDOM, QueueState(2, 7400, granted_tokens_per_s=3700.0))
     assert isinstance(start, Wait)
     assert start.expected_wait_s == pytest.approx(3.0)
 
 
-def test_it_is_refused_at_once_where_room_comes_too_late():
+def test_request_is_refused_if_capacity_is_expected_too_late():
     start = best_start([FULL], NEED, RANDOM, QueueState(40, 148_000, granted_tokens_per_s=3700.0))
     assert isinstance(start, Refuse)
     # Its place would come in 41 s; no caller keeps to more than a third of its 39 s.
@@ -34,17 +34,17 @@
     assert not start.place_reserved
 
 
-def test_who_comes_later_does_not_pass_those_who_wait():
+def test_new_request_does_not_overtake_waiting_ones():
     start = best_start([FREE], NEED, RANDOM, QueueState(2, 7400, granted_tokens_per_s=3700.0))
     assert isinstance(start, Wait)
 
 
-def test_with_no_line_and_no_drain_known_it_waits():
+def test_request_waits_if_queue_is_empty_and_grant_rate_unknown():
     start = best_start([FULL], NEED, RANDOM)
     assert isinstance(start, Wait)
     assert 0.0 < start.expected_wait_s < 10.0
 
 
-def test_nobody_is_refused_while_a_place_is_free():
+def test_no_request_is_refused_while_a_replica_has_capacity():
     line = QueueState(40, 148_000, granted_tokens_per_s=3700.0)
     assert isinstance(best_start([FULL, FREE], NEED, RANDOM, line), Wait)
