--- a/reachlink/requests/tests/test_held.py
+++ b/reachlink/requests/tests/test_held.py
@@ -1,4 +1,4 @@
-"""A request that replicas crash under, on each kind of route."""
+"""Requests that crash replicas, on each kind of route."""
 
 import asyncio
 
@@ -12,10 +12,10 @@
 FINGERPRINT = 7
 
 
-async def ask(made: World, kind: RequestKind, **route):
-    """Return the status, reason and time to come back that a caller is told."""
+async def ask(setup: World, kind: RequestKind, **route):
+    """Return the status, reason and retry delay that the caller gets."""
     try:
-        await made.run(kind, fingerprint=FINGERPRINT, **route)
+        await setup.run(kind, fingerprint=FINGERPRINT, **route)
     except RequestFailedError as error:
         return error.status, error.reason, error.retry_after_s
     except StreamCutError as error:
@@ -23,82 +23,82 @@
     return 200, "", None
 
 
-def crash(made: World, number: int, begun: bool = False) -> None:
-    """Note a crash of a replica of its own under the request, a moment ago."""
-    now = made.now()
-    made.quarantine.note_crash(FINGERPRINT, f"r{number}", now - 0.1, now, begun, now)
+def crash(setup: World, number: int, begun: bool = False) -> None:
+    """Record that the request crashed replica `number` 0.1 s ago."""
+    now = setup.now()
+    setup.quarantine.note_crash(FINGERPRINT, f"r{number}", now - 0.1, now, begun, now)
 
 
-async def crash_until_held(made: World, kind: RequestKind, **route) -> list[str]:
-    """Ask until nothing is sent any more; return where the request was sent."""
+async def crash_until_held(setup: World, kind: RequestKind, **route) -> list[str]:
+    """Repeat the request until it is not sent any more; return the replicas that received it."""
     for _ in range(10):
-        sent = len(made.adapter.sent)
-        await ask(made, kind, **route)
-        if len(made.adapter.sent) == sent:
+        sent = len(setup.adapter.sent)
+        await ask(setup, kind, **route)
+        if len(setup.adapter.sent) == sent:
             break
-        # What the breaks mean is found out: each replica that got it was looked at.
+        # Each replica that received the request has been probed after its connection broke.
         await wait_until(
-            lambda: set(made.adapter.touched) >= {s.replica for s in made.adapter.sent}
+            lambda: set(setup.adapter.touched) >= {s.replica for s in setup.adapter.sent}
         )
         await asyncio.sleep(0.0)
-        # Replicas come back, trusted, as if other requests had gone well there.
-        for name in made.zones:
-            made.book.state(name).health.on_success(made.now())
-    return [one.replica for one in made.adapter.sent]
+        # The replicas are healthy again, as after successes of other requests.
+        for name in setup.zones:
+            setup.book.state(name).health.on_success(setup.now())
+    return [one.replica for one in setup.adapter.sent]
 
 
 @pytest.mark.parametrize("kind", list(RequestKind))
-def test_a_request_goes_to_three_replicas_that_crash_and_no_more(kind):
+def test_a_request_is_held_after_crashing_three_replicas(kind):
     prefix = "m" if kind is RequestKind.STREAM else "p"
 
     async def work():
-        made = world("a a a a a", prefix)
-        made.adapter.scripts = {name: [failing(BROKEN)] for name in made.zones}
-        made.adapter.down = set(made.zones)
-        assert len(await crash_until_held(made, kind)) == 3
-        # Told at once, finally, and without a time to come back.
-        assert await ask(made, kind) == (502, "held_after_crashes", None)
-        assert made.outcomes[-1] == "held_after_crashes"
+        setup = world("a a a a a", prefix)
+        setup.adapter.scripts = {name: [failing(BROKEN)] for name in setup.zones}
+        setup.adapter.down = set(setup.zones)
+        assert len(await crash_until_held(setup, kind)) == 3
+        # Refused at once, without a retry delay.
+        assert await ask(setup, kind) == (502, "held_after_crashes", None)
+        assert setup.outcomes[-1] == "held_after_crashes"
 
     asyncio.run(work())
 
 
-def test_a_replica_that_only_drops_connections_holds_nothing():
+def test_a_replica_that_only_drops_connections_does_not_hold_a_request():
     async def work():
-        made = world("a a a", "p")
-        made.adapter.scripts = {name: [failing(BROKEN)] for name in made.zones}
+        setup = world("a a a", "p")
+        setup.adapter.scripts = {name: [failing(BROKEN)] for name in setup.zones}
         for _ in range(6):
-            assert (await ask(made, RequestKind.ONCE))[1] != "held_after_crashes"
+            assert (await ask(setup, RequestKind.ONCE))[1] != "held_after_crashes"
 
     asyncio.run(work())
 
 
-def test_a_stream_whose_copy_would_crash_the_next_replica_is_cut():
-    """Held meanwhile: what its caller has is broken off, not ended as if it were whole."""
+def test_a_held_stream_is_not_sent_to_another_replica():
+    """The request is held because it crashed other replicas after their answers had begun."""
 
     async def work():
-        made = world("a a a", "m")
-        made.adapter.scripts = {name: [answers(200, stream(0, 2), BROKEN)] for name in made.zones}
+        setup = world("a a a", "m")
+        setup.adapter.scripts = {name: [answers(200, stream(0, 2), BROKEN)] for name in setup.zones}
         for at in range(6):
-            crash(made, at, begun=True)
-        assert made.quarantine.held(made.now())
-        assert (await ask(made, RequestKind.STREAM))[0] == 502
+            crash(setup, at, begun=True)
+        assert setup.quarantine.held(setup.now())
+        assert (await ask(setup, RequestKind.STREAM))[0] == 502
 
     asyncio.run(work())
 
 
-def test_one_that_waits_at_a_replica_is_stopped():
-    """It would begin there in a moment, and crash it."""
+def test_a_request_that_is_held_while_it_waits_at_a_replica_is_stopped():
+    """Otherwise it would start at the replica and crash it."""
 
     async def work():
-        made = world("a a", "m")
-        made.adapter.scripts = {name: [answers(200, 3.0, event(0))] for name in made.zones}
-        asking = asyncio.create_task(ask(made, RequestKind.STREAM))
-        await wait_until(lambda: made.adapter.sent)
+        setup = world("a a", "m")
+        setup.adapter.scripts = {name: [answers(200, 3.0, event(0))] for name in setup.zones}
+        asking = asyncio.create_task(ask(setup, RequestKind.STREAM))
+        await wait_until(lambda: setup.adapter.sent)
         await asyncio.sleep(0.0)
         for at in range(3):
-            crash(made, at)
-        # The head of its answer was given: the rest is broken off.
+            crash(setup, at)
+        # The head of the answer was passed on, so that the stream is cut.
         assert await asking == (0, "held_after_crashes", None)
 
     asyncio.run(work())
--- a/reachlink/requests/tests/test_homes.py
+++ b/reachlink/requests/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Requests that are bound to regions run there or not at all, and callers learn why."""
+"""Requests restricted to regions run only there; otherwise callers are told the reason."""
 
 import asyncio
 from collections.abc import Set
@@ -23,7 +23,7 @@
     return Route("r", "h", "/r/", RequestKind.ONCE, (), 1.0, 1.0, regions=regions)
 
 
-def test_both_homes_bind():
+def test_regions_of_route_and_workspace_are_intersected():
     assert allowed_regions(route(), Workspace("w", ())) is None
     assert allowed_regions(route(), None) is None
     assert allowed_regions(route("north", "south"), Workspace("w", ())) == {"north", "south"}
@@ -32,45 +32,45 @@
     assert allowed_regions(route("south"), north) == frozenset()
 
 
-async def run(made: World, zones: Set[str]) -> FakeSink:
-    request = made.request(RequestKind.STREAM)
+async def run(setup: World, zones: Set[str]) -> FakeSink:
+    request = setup.request(RequestKind.STREAM)
     request.zones = frozenset(zones)
     sink = FakeSink()
-    await made.runner.run(request, sink)
+    await setup.runner.run(request, sink)
     return sink
 
 
-def test_requests_run_at_home_however_busy_it_is():
-    made = world_with_script("a a b", "m", script=answering(200, stream(1, 2)))
+def test_requests_stay_in_their_zones_under_load():
+    setup = world_with_script("a a b", "m", script=answering(200, stream(1, 2)))
 
     async def scenario():
-        return [await run(made, {"b"}) for _ in range(10)]
+        return [await run(setup, {"b"}) for _ in range(10)]
 
     asyncio.run(scenario())
-    assert {sent.replica for sent in made.adapter.sent} == {"m3"}
+    assert {sent.replica for sent in setup.adapter.sent} == {"m3"}
 
 
-def test_copies_stay_at_home_too():
-    made = world_with_script(
+def test_copies_stay_in_the_allowed_zones():
+    setup = world_with_script(
         "a b b c c", "m", script=answering(200, stream(1, 3), 0.6, stream(4, 5))
     )
-    made.adapter.move_result = MoveResult(MovedMemory("m1:1", "h1"), True)
+    setup.adapter.move_result = MoveResult(MovedMemory("m1:1", "h1"), True)
 
     async def scenario():
-        running = asyncio.create_task(run(made, {"b"}))
-        await wait_until(lambda: made.adapter.moves)
+        running = asyncio.create_task(run(setup, {"b"}))
+        await wait_until(lambda: setup.adapter.moves)
         await running
 
     asyncio.run(scenario())
-    assert {t for _, t, _ in made.adapter.moves} <= {"m2", "m3"}
+    assert {t for _, t, _ in setup.adapter.moves} <= {"m2", "m3"}
 
 
 @pytest.mark.parametrize("zones", [{"elsewhere"}, set()])
-def test_without_a_home_in_reach_callers_learn_it_at_once(zones):
-    made = world_with_script("a b", "m", script=answering(200, stream(1, 2)))
+def test_a_request_without_a_reachable_allowed_zone_is_refused_at_once(zones):
+    setup = world_with_script("a b", "m", script=answering(200, stream(1, 2)))
     with pytest.raises(RequestFailedError) as caught:
-        asyncio.run(run(made, zones))
+        asyncio.run(run(setup, zones))
     error = caught.value
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert "home_regions_out_of_reach" in str(error)
-    assert error.retry_after_s == 1.2 and not made.adapter.sent
+    assert error.retry_after_s == 1.2 and not setup.adapter.sent
--- a/reachlink/requests/tests/test_refused.py
+++ b/reachlink/requests/tests/test_refused.py
@@ -1,4 +1,4 @@
-"""Requests that the owner of the line refuses: what their callers are told."""
+"""Answers to requests that the owner of the queue refuses."""
 
 import asyncio
 
@@ -11,38 +11,38 @@
 from reachlink.scheduling import RefusalReason, Refuse
 
 
-def refused(made, kind, refusal: Refuse | None) -> RequestFailedError:
-    request = made.request(kind)
+def refused(setup, kind, refusal: Refuse | None) -> RequestFailedError:
+    request = setup.request(kind)
 
     async def place_or_wait(request, tried):
         request.refusal = refusal
         return None
 
-    made.runner._dispatch.place_or_wait = place_or_wait
+    setup.runner._dispatch.place_or_wait = place_or_wait
     with pytest.raises(RequestFailedError) as caught:
-        asyncio.run(made.runner.run(request, FakeSink()))
+        asyncio.run(setup.runner.run(request, FakeSink()))
     return caught.value
 
 
 @pytest.mark.parametrize("kind", list(RequestKind))
 @pytest.mark.parametrize("reason", list(RefusalReason))
-def test_its_reason_and_time_go_to_the_caller(kind, reason):
-    made = world("a", "m" if kind is RequestKind.STREAM else "p")
-    made.directory.update([], 1.0)
-    error = refused(made, kind, Refuse(2.5, reason, place_reserved=True))
+def test_the_caller_gets_the_reason_and_retry_delay_of_the_refusal(kind, reason):
+    setup = world("a", "m" if kind is RequestKind.STREAM else "p")
+    setup.directory.update([], 1.0)
+    error = refused(setup, kind, Refuse(2.5, reason, place_reserved=True))
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert (error.reason, error.retry_after_s) == (reason.value, 2.5)
 
 
-def test_without_one_callers_are_told_as_before():
-    made = world("a")
-    made.directory.update([], 1.0)
-    error = refused(made, RequestKind.ONCE, None)
+def test_the_answer_without_a_refusal_of_the_owner():
+    setup = world("a")
+    setup.directory.update([], 1.0)
+    error = refused(setup, RequestKind.ONCE, None)
     assert (error.status, error.reason, error.retry_after_s) == (503, "no_replica", 0.1)
 
 
-def test_a_question_tells_what_makes_a_request_the_same():
-    made = world_with_script(script=OK)
-    request = made.request(RequestKind.ONCE)
+def test_a_placement_query_has_the_fingerprint_of_the_request():
+    setup = world_with_script(script=OK)
+    request = setup.request(RequestKind.ONCE)
     request.relay.fingerprint = 77
-    assert made.runner.placing.question(request, set()).fingerprint == 77
+    assert setup.runner.placing.question(request, set()).fingerprint == 77
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -1,4 +1,4 @@
-"""Replicas and callers in memory, for the way of a request without sockets."""
+"""Fake replicas and callers for tests of the request lifecycle without sockets."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -35,7 +35,7 @@
 )
 
 ENGINE = EngineLimits(64, 40_000, moves=True, backups=True, tokens_per_event=4)
-# Sends memory to a backup as it grows, and moves none at an order.
+# Continuously sends memory to a backup, and does not move memory on request.
 BACKUP_ENGINE = EngineLimits(64, 40_000, moves=False, backups=True, tokens_per_event=4)
 PLAIN = Service("plain", "/health", 10)
 ROUTES = {
@@ -68,7 +68,7 @@
 
 @dataclass
 class SentRequest:
-    """One request as it reached a replica."""
+    """One request as a replica received it."""
 
     replica: str
     request_id: str
@@ -78,7 +78,7 @@
 
 
 class FakeAnswer(RelayAnswer):
-    """An answer made of pieces; an exception among them breaks it there."""
+    """Answer that consists of chunks; a float is a pause in seconds, an exception is raised."""
 
     def __init__(self, head: AnswerHead, pieces: list[bytes | Exception | float]) -> None:
         self._head = head
@@ -130,20 +130,20 @@
 
 @dataclass
 class FakeAdapter(RelayAdapter):
-    """Answers by a script a replica; one script a dispatch, the last one for ever."""
+    """Answers with the scripts of each replica in turn; the last one is used repeatedly."""
 
     scripts: dict[str, list[Script]] = field(default_factory=dict)
     sent: list[SentRequest] = field(default_factory=list)
     moves: list[tuple[str, str, bool]] = field(default_factory=list)
     released: list[MovedMemory] = field(default_factory=list)
     touched: list[str] = field(default_factory=list)
-    # Whether each request had its permit already as it was sent.
+    # Whether each request already had its permit when it was sent.
     admitted: list[bool] = field(default_factory=list)
-    # Replicas whose port is closed.
+    # Replicas that refuse connections.
     down: set[str] = field(default_factory=set)
     move_result: MoveResult = field(default_factory=MoveResult)
     move_takes_s: float = 0.0
-    # Generations of which memory is on its way: another order is turned away.
+    # Ids of requests whose memory is being transferred; a second transfer is refused.
     moving: set[str] = field(default_factory=set)
 
     async def open(
@@ -190,7 +190,7 @@
 
 @dataclass
 class FakeSink:
-    """What a caller got."""
+    """Records the answer that a caller got."""
 
     head: AnswerHead | None = None
     body: bytes = b""
@@ -211,7 +211,7 @@
 
 @dataclass
 class World:
-    """One entry instance with replicas `r1`, `r2`, ... in the zones given."""
+    """Entry instance with fake replicas, given as a mapping of their names to zones."""
 
     zones: dict[str, str]
     adapter: FakeAdapter = field(default_factory=FakeAdapter)
@@ -243,7 +243,7 @@
         self.runner = RequestRunner(parts)
 
     def now(self) -> float:
-        """Return the time by which the runner works, in monotonic seconds."""
+        """Return the time of the clock of the runner, in monotonic seconds."""
         return steady_time()
 
     def list_replicas(self, *leaving: str) -> None:
@@ -293,9 +293,9 @@
 
 
 def world_with_script(zones: str = "a a", prefix: str = "p", *, script: Script) -> World:
-    made = world(zones, prefix)
-    made.adapter.scripts = {name: [script] for name in made.zones}
-    return made
+    setup = world(zones, prefix)
+    setup.adapter.scripts = {name: [script] for name in setup.zones}
+    return setup
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
