--- a/benchmarks/bench_coordination.py
+++ b/benchmarks/bench_coordination.py
@@ -21,7 +21,7 @@
 import msgspec
 import structlog
 
-from reachlink.coordination.tests.world import Instance, Network, question
+from reachlink.coordination.tests.world import Instance, Network, make_query
 from reachlink.membership import ListedInstance
 from reachlink.messaging import encode
 
@@ -45,7 +45,7 @@
     coordinator.directory.update(listed, network.now)
     for number, follower in enumerate(followers):
         for generation in range(CARRIED):
-            flight = follower.begin(listed[(number + generation) % replicas].name)
+            flight = follower.start_request(listed[(number + generation) % replicas].name)
             flight.uncovered = True
     network.now += 10.0
     return coordinator, followers
@@ -74,7 +74,7 @@
     began = time.process_time()
     for _ in range(ROUNDS):
         for follower in followers:
-            await follower.member.ask(question(10))
+            await follower.member.ask(make_query(10))
     question_us = (time.process_time() - began) / (ROUNDS * members) * 1e6
     return {
         "members": members,
--- a/reachlink/coordination/tests/test_caller_retry_ledger.py
+++ b/reachlink/coordination/tests/test_caller_retry_ledger.py
@@ -29,7 +29,7 @@
     return CallerRetryLedger(clock)
 
 
-def question(request_id: str, fingerprint: int = 77) -> PlaceQuestion:
+def make_query(request_id: str, fingerprint: int = 77) -> PlaceQuestion:
     need = Need(tokens=2000, workspace="w1", give_up_in_s=30.0)
     return PlaceQuestion(
         "edge-1", request_id, "chat", Purpose.REQUEST, 2000, need=need, fingerprint=fingerprint
@@ -37,12 +37,12 @@
 
 
 def ask(ledger: CallerRetryLedger, request_id: str, start, fingerprint: int = 77):
-    asked = question(request_id, fingerprint)
+    asked = make_query(request_id, fingerprint)
     need, promise = ledger.on_arrival(asked)
     return need, ledger.record_decision(asked, need, promise, start, LINE)
 
 
-def test_a_request_is_known_again_under_another_id_from_another_instance(ledger, clock):
+def test_retry_is_recognized_under_other_id(ledger, clock):
     with capture_logs() as logs:
         assert ask(ledger, "id-1", REFUSED)[1] == REFUSED
         clock.now += 3.1
@@ -56,7 +56,7 @@
     assert (found["event"], found["place_kept"], found["age_s"]) == ("return_found", True, 3.1)
 
 
-def test_who_comes_early_is_told_the_rest_of_its_time(ledger, clock):
+def test_early_retry_gets_remaining_time(ledger, clock):
     ask(ledger, "id-1", REFUSED)
     clock.now += 1.0
     need, start = ask(ledger, "id-2", Refuse(9.0))
@@ -64,7 +64,7 @@
     assert start == Refuse(2.0, RefusalReason.NO_ROOM, place_reserved=True)
 
 
-def test_log_lines_are_bounded_and_those_left_out_are_counted(ledger, clock):
+def test_log_lines_are_limited_and_omitted_ones_counted(ledger, clock):
     most = ledger_module.MAX_LOG_LINES_PER_S
     with capture_logs() as logs:
         for number in range(most + 5):
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -11,7 +11,7 @@
 
 REPLICA, ADDRESS = "r1", "r1:1"
 PER_S = 2.0
-NOW = PermitOptions()
+NO_WAIT = PermitOptions()
 
 
 @pytest.fixture
@@ -20,86 +20,86 @@
     network = Network()
     made = [Instance(network, f"e{n}") for n in range(3)]
     for one in made:
-        one.list_replicas()
+        one.set_replica_list()
         one.limits.update_roster([other.record for other in made], len(made))
     network.now += sharing.SETTLE_S
-    hear(made)
+    exchange_heartbeats(made)
     for one in made:
         one.pacing.limits.record(ADDRESS, PER_S, network.now)
     return made
 
 
-def hear(fleet: list[Instance]) -> None:
+def exchange_heartbeats(fleet: list[Instance]) -> None:
     for one in fleet:
         for other in fleet:
             if other is not one and other.record.name not in one.network.silent:
                 one.shared._last_heard[other.record.name] = one.network.now
 
 
-def in_rank(fleet: list[Instance]) -> list[Instance]:
+def by_rank(fleet: list[Instance]) -> list[Instance]:
     """Return who hands out the replica's limit, and who takes over from whom."""
     order = rendezvous_order([one.record.name for one in fleet], REPLICA)
     return sorted(fleet, key=lambda one: order.index(one.record.name))
 
 
-def ask(one: Instance, asked: PermitOptions = NOW) -> float:
+def acquire(one: Instance, asked: PermitOptions = NO_WAIT) -> float:
     limit = one.pacing.limits.get(ADDRESS)
     assert limit is not None
     return asyncio.run(one.limits.acquire(ADDRESS, limit, asked))
 
 
-def test_all_ask_the_same_instance_and_get_the_limit_together(fleet):
-    waits = [ask(one, PermitOptions(max_wait_s=9.0)) for one in fleet * 2]
+def test_all_instances_share_limit_through_one_owner(fleet):
+    waits = [acquire(one, PermitOptions(max_wait_s=9.0)) for one in fleet * 2]
     assert waits == pytest.approx([0.0, 0.5, 1.0, 1.5, 2.0, 2.5])
     asked = {address for address, channel in fleet[0].network.calls}
-    assert asked == {in_rank(fleet)[0].record.name}
+    assert asked == {by_rank(fleet)[0].record.name}
 
 
-def test_a_turn_beyond_the_patience_is_not_taken(fleet):
-    assert [ask(one) for one in fleet] == pytest.approx([0.0, 0.5, 0.5])
+def test_permit_beyond_max_wait_is_not_granted(fleet):
+    assert [acquire(one) for one in fleet] == pytest.approx([0.0, 0.5, 0.5])
 
 
-def test_where_who_hands_out_is_silent_another_takes_over_once_it_hears_nothing(fleet):
-    first, second, third = in_rank(fleet)
+def test_successor_grants_limit_only_after_owner_timeout(fleet):
+    first, second, third = by_rank(fleet)
     network = first.network
     network.silent.add(first.record.name)
     # The second one still hears of the first: it could be only this way that is cut.
     sent = 0
     for _ in range(15):
         network.now += 0.1
-        sent += ask(third) <= 0.0
+        sent += acquire(third) <= 0.0
     assert sent <= 1.5 * PER_S / 3 + 1
     network.now += sharing.PEER_SILENCE_TIMEOUT_S
-    hear(fleet)
-    waits = [ask(one, PermitOptions(max_wait_s=9.0)) for one in (second, third, second)]
+    exchange_heartbeats(fleet)
+    waits = [acquire(one, PermitOptions(max_wait_s=9.0)) for one in (second, third, second)]
     assert waits == pytest.approx([0.0, 0.5, 1.0])
 
 
-def test_one_that_reaches_nobody_sends_its_part(fleet):
-    first, second, third = in_rank(fleet)
+def test_isolated_instance_sends_its_share(fleet):
+    first, second, third = by_rank(fleet)
     network = first.network
     network.silent |= {first.record.name, second.record.name}
     sent = 0
     for _ in range(300):
         network.now += 0.1
-        sent += ask(third) <= 0.0
+        sent += acquire(third) <= 0.0
     # A third of what the replica takes; which no longer is the whole where a side has more.
     assert sent == pytest.approx(30.0 * PER_S / 3, abs=2)
 
 
-def test_one_that_does_not_answer_is_not_asked_for_a_while(fleet):
-    first, second, _ = in_rank(fleet)
+def test_owner_that_does_not_reply_is_not_asked_for_a_while(fleet):
+    first, second, _ = by_rank(fleet)
     first.network.silent.add(first.record.name)
     first.network.calls.clear()
     for _ in range(5):
-        ask(second)
+        acquire(second)
     assert [a for a, _ in first.network.calls] == [first.record.name]
     first.network.now += exchange.RETRY_AFTER_SILENCE_S
-    ask(second)
+    acquire(second)
     assert len(first.network.calls) == 2
 
 
-def test_a_limit_is_told_on_with_its_age(fleet):
+def test_limit_update_keeps_age(fleet):
     one, other, third = fleet
     network = one.network
     network.now += 3.0
@@ -118,7 +118,7 @@
         )
 
 
-def test_the_end_of_a_limit_is_told_on(fleet):
+def test_end_of_limit_is_sent_to_others(fleet):
     """Who has no permit for long would hear of it late: the limit was a request in two seconds."""
     one, other, third = fleet
     network = one.network
@@ -135,25 +135,25 @@
     assert third.pacing.limits.get(ADDRESS) is not None
 
 
-def test_a_limit_that_was_not_named_for_long_is_not_told(fleet):
+def test_old_limit_is_not_sent(fleet):
     one = fleet[0]
     one.network.now += exchange.MAX_NOTE_AGE_S
     assert one.limits.updates() == []
 
 
-def test_members_and_coordinators_tell_each_other():
+def test_members_and_coordinators_exchange_limits():
     network = Network()
     coordinator, member = Instance(network, "c"), Instance(network, "m")
     for one in (coordinator, member):
-        one.list_replicas()
+        one.set_replica_list()
         one.update_roster(coordinator)
     member.pacing.limits.record(ADDRESS, PER_S, network.now)
 
-    async def story():
-        await member.follow()
+    async def scenario():
+        await member.poll_coordinator()
         assert coordinator.pacing.limits.get(ADDRESS).requests_per_s == PER_S
         coordinator.pacing.limits.record("r2:1", 7.0, network.now)
-        await member.follow()
+        await member.poll_coordinator()
 
-    asyncio.run(story())
+    asyncio.run(scenario())
     assert member.pacing.limits.get("r2:1").requests_per_s == 7.0
--- a/reachlink/coordination/tests/test_quarantine_exchange.py
+++ b/reachlink/coordination/tests/test_quarantine_exchange.py
@@ -23,34 +23,34 @@
     return instance.quarantine.verdict(GUILTY, instance.clock()) is not None
 
 
-def test_members_of_one_coordinator_learn_of_each_other():
-    async def work():
+def test_crashes_spread_between_members_of_one_coordinator():
+    async def scenario():
         network = Network()
         coordinator = Instance(network, "e1")
         members = [Instance(network, name) for name in ("e2", "e3", "e4")]
         for one in (coordinator, *members):
-            one.list_replicas()
+            one.set_replica_list()
             one.update_roster(coordinator)
         network.now += 5.0
         for number, member in enumerate(members):
             crash(member, number)
-            await member.follow()
+            await member.poll_coordinator()
         for member in members:
-            await member.follow()
+            await member.poll_coordinator()
         assert [holds(one) for one in (coordinator, *members)] == [True] * 4
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_a_member_that_asks_just_after_the_news_is_not_kept_waiting():
-    async def work():
+def test_update_just_after_news_is_not_held():
+    async def scenario():
         network = Network()
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
-            one.list_replicas()
+            one.set_replica_list()
             one.update_roster(coordinator)
         network.now += 5.0
-        await member.follow()
+        await member.poll_coordinator()
         for number in range(3):
             crash(coordinator, number)
         asking = network.handlers["e1"]["member"](
@@ -59,14 +59,14 @@
         picture = decode(await asyncio.wait_for(asking, 5.0), CoordinatorSnapshot)
         assert len(picture.quarantine.crashes) == 3
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_where_asking_does_not_help_it_is_asked_for_less_and_less(monkeypatch):
+def test_synchronization_is_repeated_less_often_if_digests_keep_differing(monkeypatch):
     """In a flood each keeps other crashes: their digests differ for good."""
     monkeypatch.setattr(exchange, "CHECK_INTERVAL_S", 0.01)
 
-    async def work():
+    async def scenario():
         network = Network()
         Instance(network, "e1")
         other = Instance(network, "e2")
@@ -82,11 +82,11 @@
         # At the start, then after 1, 2, 4, 8, 16 and 30 s.
         assert len(asked) <= 7
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_one_that_starts_learns_what_the_others_know_before_it_is_ready():
-    async def work():
+def test_starting_instance_synchronizes_before_it_is_ready():
+    async def scenario():
         network = Network()
         old, new = Instance(network, "e1"), Instance(network, "e2")
         for number in range(3):
@@ -100,13 +100,13 @@
         running.cancel()
         assert holds(new)
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_one_that_missed_news_asks_for_everything():
+def test_instance_that_missed_updates_synchronizes():
     """Behind a cut while it was told: the digests that come with notes differ."""
 
-    async def work():
+    async def scenario():
         network = Network()
         one, other = Instance(network, "e1"), Instance(network, "e2")
         other.crash_news.set_peers(["e1"], alone=False)
@@ -125,16 +125,16 @@
 
     async def bounded():
         async with asyncio.timeout(10.0):
-            await work()
+            await scenario()
 
     asyncio.run(bounded())
 
 
 @pytest.mark.parametrize("peers", [[], ["e9"]])
-def test_a_start_is_not_held_up_for_ever(peers):
+def test_start_without_reply_is_not_blocked_forever(peers):
     """Alone, or where all start at once and nobody answers yet."""
 
-    async def work():
+    async def scenario():
         network = Network()
         network.silent.add("e9")
         alone = Instance(network, "e1")
@@ -146,17 +146,17 @@
                 await asyncio.sleep(0.05)
         running.cancel()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_the_only_coordinator_learns_from_its_members_when_it_starts():
+def test_starting_coordinator_learns_crashes_from_its_members():
     """Found with real processes: it had nobody to ask, and sent what its member held."""
 
-    async def work():
+    async def scenario():
         network = Network()
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
-            one.list_replicas()
+            one.set_replica_list()
             one.update_roster(coordinator)
         member.crash_news.set_peers(["e1"], alone=False)
         coordinator.crash_news.set_peers([], alone=False)
@@ -167,21 +167,21 @@
         running = asyncio.create_task(member.crash_news.run())
         async with asyncio.timeout(5.0):
             while not holds(coordinator):
-                await member.follow()
+                await member.poll_coordinator()
                 await asyncio.sleep(0.02)
         running.cancel()
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_a_member_that_knows_more_is_answered_at_once():
+def test_update_of_member_that_knows_more_is_not_held():
     """Kept waiting for news by a coordinator that has just started, it could tell it nothing."""
 
-    async def work():
+    async def scenario():
         network = Network()
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
-            one.list_replicas()
+            one.set_replica_list()
             one.update_roster(coordinator)
         for number in range(3):
             crash(member, number)
@@ -190,15 +190,15 @@
         call = network.handlers["e1"]["member"]("e2", encode(note))
         assert decode(await asyncio.wait_for(call, 5.0), CoordinatorSnapshot).quarantine.digest == 0
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
-def test_an_only_coordinator_is_not_ready_before_a_member_has_agreed():
-    async def work():
+def test_single_coordinator_is_not_ready_before_digest_of_a_member_agrees():
+    async def scenario():
         network = Network()
         coordinator, member = Instance(network, "e1"), Instance(network, "e2")
         for one in (coordinator, member):
-            one.list_replicas()
+            one.set_replica_list()
             one.update_roster(coordinator)
         crash(member, 1)
         network.now += 10.0
@@ -207,10 +207,10 @@
         running = [asyncio.create_task(one.crash_news.run()) for one in (coordinator, member)]
         async with asyncio.timeout(5.0):
             while not coordinator.crash_news.initial_sync_done:
-                await member.follow()
+                await member.poll_coordinator()
                 await asyncio.sleep(0.02)
         for task in running:
             task.cancel()
         assert coordinator.quarantine.digest() == member.quarantine.digest() != 0
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/reachlink/coordination/tests/test_line_over_zones.py
+++ b/reachlink/coordination/tests/test_queue_over_zones.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.coordination.tests.test_line import asked
+from reachlink.coordination.tests.test_queue import make_queued_query
 from reachlink.coordination.tests.world import Instance, Network
 from reachlink.testing import run_virtually
 
@@ -24,26 +24,30 @@
         ]
         for instance in self.coordinators + self.members:
             instance.update_roster(*self.coordinators)
-            instance.list_replicas()
+            instance.set_replica_list()
         self.network.now += 10.0
         for coordinator in self.coordinators:
             for replica in ("r1", "r2"):
-                coordinator.begin(replica, 30_000)
+                coordinator.start_request(replica, 30_000)
 
     async def stand(self) -> list[int]:
         """Have one request of each zone wait; return how many stand in each zone's line."""
         tasks = [
-            asyncio.ensure_future(m.member.ask(asked(f"id-{m.record.name}", hold_s=1.0)))
+            asyncio.ensure_future(
+                m.member.ask(make_queued_query(f"id-{m.record.name}", hold_s=1.0))
+            )
             for m in self.members
         ]
         await asyncio.sleep(0.3)
-        lines = [
-            c.line.waiting_counts.get("chat", 0) for c in self.coordinators if c.line is not None
+        lengths = [
+            c.queue_owner.waiting_counts.get("chat", 0)
+            for c in self.coordinators
+            if c.queue_owner is not None
         ]
         for task in tasks:
             task.cancel()
         await asyncio.sleep(0.1)
-        return lines
+        return lengths
 
     def cut(self, zone: str) -> None:
         """Cut a zone off, as all have noticed."""
@@ -52,28 +56,28 @@
             instance.silent_zones = set(ZONES) - {zone} if inside else {zone}
 
 
-@pytest.mark.parametrize("over_zones,lines", [(False, [1, 1, 1]), (True, [0, 0, 3])])
-def test_a_line_is_one_a_zone_or_one_over_all(over_zones, lines):
-    async def scene():
+@pytest.mark.parametrize("over_zones,lengths", [(False, [1, 1, 1]), (True, [0, 0, 3])])
+def test_queue_is_per_zone_or_shared_by_all_zones(over_zones, lengths):
+    async def scenario():
         return await Region(over_zones).stand()
 
-    assert sorted(run_virtually(scene())) == lines
+    assert sorted(run_virtually(scenario())) == lengths
 
 
 @pytest.mark.parametrize("zone", ZONES)
-def test_a_zone_that_is_cut_off_has_a_line_of_its_own(zone):
-    async def scene():
+def test_zone_that_is_cut_off_has_own_queue(zone):
+    async def scenario():
         region = Region(over_zones=True)
         region.cut(zone)
         return await region.stand()
 
-    lines = run_virtually(scene())
-    assert lines[ZONES.index(zone)] == 1
-    assert sorted(lines) == [0, 1, 2]
+    lengths = run_virtually(scenario())
+    assert lengths[ZONES.index(zone)] == 1
+    assert sorted(lengths) == [0, 1, 2]
 
 
-def test_where_the_owner_of_all_is_lost_all_have_the_next_one():
-    async def scene():
+def test_all_zones_use_next_owner_after_owner_is_lost():
+    async def scenario():
         region = Region(over_zones=True)
         before = await region.stand()
         lost = before.index(3)
@@ -81,7 +85,7 @@
         first = await region.stand()
         return lost, first, await region.stand()
 
-    lost, first, then = run_virtually(scene())
+    lost, first, then = run_virtually(scenario())
     # The question that showed it went to the own zone's next, if there is one.
     assert first[lost] == 0
     assert sorted(then) == [0, 0, 3]
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -47,14 +47,14 @@
 
 
 @dataclass
-class Reached:
+class AllZonesReachable:
     """All zones can be reached."""
 
     silent_zones: frozenset[str] = frozenset()
     cut_off: bool = False
 
 
-class MemoryBus:
+class FakeBus:
     """One instance's end of the network; its address is its name."""
 
     def __init__(self, network: Network, name: str) -> None:
@@ -98,7 +98,7 @@
         network: Network,
         name: str,
         zone: str = "a",
-        lines: bool = False,
+        queues: bool = False,
         over_zones: bool = False,
     ) -> None:
         self.record = InstanceRecord(name, name, zone)
@@ -109,7 +109,7 @@
         self.selector = CoordinatorSelector(name, zone)
         self.news: list[object] = []
         self.outcomes: list[str] = []
-        bus = MemoryBus(network, name)
+        bus = FakeBus(network, name)
         self.quarantine = Quarantine(Random(name))
         self.crash_news = QuarantineExchange(
             bus,  # type: ignore[arg-type]
@@ -154,11 +154,11 @@
             ask_coordinator=self.member.ask,
             clock=self.clock,
             quarantine=self.quarantine,
-            scheduling=SchedulingSettings(line=lines),
+            scheduling=SchedulingSettings(line=queues),
         )
         self.placing = Placing(self.parts)
-        self.ended: list[str] = []
-        self.line = self._queue_owner() if lines else None
+        self.queue_outcomes: list[str] = []
+        self.queue_owner = self._make_queue_owner() if queues else None
         self.silent_zones: set[str] = set()
         self.over_zones = over_zones
         self.coordinator = Coordinator(
@@ -173,15 +173,15 @@
             self.crash_news,
             self.limits,
             self.paces,
-            Reached,
+            AllZonesReachable,
             Random(1),
             self.clock,
-            self.line,
+            self.queue_owner,
         )
-        if self.line is not None:
-            self.member.use_queue(self._queue_client(bus, self.line))
+        if self.queue_owner is not None:
+            self.member.use_queue(self._make_queue_client(bus, self.queue_owner))
 
-    def _queue_owner(self) -> QueueOwner:
+    def _make_queue_owner(self) -> QueueOwner:
         return QueueOwner(
             self.record.name,
             self.placing,
@@ -189,16 +189,16 @@
             self.shared,
             self.directory,
             lambda: [SERVICE],
-            lambda service, outcome: self.ended.append(outcome),
+            lambda service, outcome: self.queue_outcomes.append(outcome),
             self.clock,
         )
 
-    def _queue_client(self, bus: MemoryBus, line: QueueOwner) -> QueueClient:
+    def _make_queue_client(self, bus: FakeBus, queue_owner: QueueOwner) -> QueueClient:
         return QueueClient(
             self.selector,
             self.record.name,
             bus,  # type: ignore[arg-type]
-            line,
+            queue_owner,
             lambda: self.coordinator.ready,
             self.outcomes.append,
             (lambda: self.silent_zones) if self.over_zones else None,
@@ -208,39 +208,39 @@
     def clock(self) -> float:
         return self.network.now
 
-    def list_replicas(self) -> None:
+    def set_replica_list(self) -> None:
         self.directory.update(REPLICAS, self.network.now)
 
     def update_roster(self, *coordinators: "Instance") -> None:
         self.member.update_roster([c.record for c in coordinators])
         self.coordinator.set_coordinating(not self.selector.is_member)
 
-    async def follow(self) -> None:
+    async def poll_coordinator(self) -> None:
         """Exchange one note and picture with the preferred coordinator."""
         coordinator = self.selector.by_preference(self.network.now)[0]
         await self.member._poll_once(coordinator)
 
-    def begin(self, replica: str, tokens: int = 9_000) -> Flight:
+    def start_request(self, replica: str, tokens: int = 9_000) -> Flight:
         """Have a request at a replica."""
         flight = Flight(f"{self.record.name}-{replica}", tokens, used_tokens=tokens)
         self.book.add(replica, flight)
         return flight
 
 
-def fleet(
-    coordinators: int = 2, members: int = 2, lines: bool = False
+def make_fleet(
+    coordinators: int = 2, members: int = 2, queues: bool = False
 ) -> tuple[Network, list[Instance], list[Instance]]:
     """Return a network, settled coordinators that know the replicas, and members."""
     network = Network()
-    chosen = [Instance(network, f"c{i}", lines=lines) for i in range(1, coordinators + 1)]
-    others = [Instance(network, f"m{i}", lines=lines) for i in range(1, members + 1)]
+    chosen = [Instance(network, f"c{i}", queues=queues) for i in range(1, coordinators + 1)]
+    others = [Instance(network, f"m{i}", queues=queues) for i in range(1, members + 1)]
     for instance in chosen + others:
         instance.update_roster(*chosen)
     for coordinator in chosen:
-        coordinator.list_replicas()
+        coordinator.set_replica_list()
     network.now += 10.0
     return network, chosen, others
 
 
-def question(tokens: int = 9_000, purpose: Purpose = Purpose.REQUEST) -> PlaceQuestion:
+def make_query(tokens: int = 9_000, purpose: Purpose = Purpose.REQUEST) -> PlaceQuestion:
     return PlaceQuestion("", "id-1", "chat", purpose, tokens, prompt_tokens=3_000, zone="a")
