--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -37,7 +37,7 @@
     """
     requests_per_s = float(text)
     if not math.isfinite(requests_per_s) or requests_per_s < 0.0:
-        raise ValueError(f"not a rate: {text}")
+        raise ValueError(f"rate limit is not a finite number of at least 0: {text}")
     return min(HIGHEST_PER_S, max(LOWEST_PER_S, requests_per_s))
 
 
--- a/reachlink/placement/_baselines.py
+++ b/reachlink/placement/_baselines.py
@@ -36,7 +36,9 @@
             return _NONE
         ordered = sorted(candidates, key=lambda c: c.name)
         self._next += 1
-        return Decision(Verdict.PLACE, ordered[self._next % len(ordered)].name, "next in turn")
+        return Decision(
+            Verdict.PLACE, ordered[self._next % len(ordered)].name, "next in round-robin order"
+        )
 
 
 @POLICIES.register("least-in-flight")
@@ -50,7 +52,7 @@
         if not candidates:
             return _NONE
         best = min(candidates, key=lambda c: (c.own_in_flight, random.random()))
-        return Decision(Verdict.PLACE, best.name, "fewest in flight here")
+        return Decision(Verdict.PLACE, best.name, "fewest requests in flight from this instance")
 
 
 @POLICIES.register("power-of-two")
@@ -65,4 +67,4 @@
             return _NONE
         pair = random.sample(list(candidates), min(2, len(candidates)))
         best = min(pair, key=lambda c: c.reported_running + c.reported_waiting)
-        return Decision(Verdict.PLACE, best.name, "better of two by report")
+        return Decision(Verdict.PLACE, best.name, "less loaded of two random replicas")
--- a/reachlink/routing/_patch.py
+++ b/reachlink/routing/_patch.py
@@ -79,16 +79,20 @@
         If a patch applies to another table.
     """
     if table is None:
-        raise PatchMismatchError(f"changes table {patches[0].base}, none is held")
+        raise PatchMismatchError(
+            f"patch applies to table {patches[0].base}, but there is no current table"
+        )
     number, parts = table.number, _split(table.document)
     for patch in patches:
         if patch.base != number:
-            raise PatchMismatchError(f"changes table {patch.base}, {number} is held")
+            raise PatchMismatchError(
+                f"patch applies to table {patch.base}, but the current table is {number}"
+            )
         number, parts = patch.number, _patched(parts, patch)
     last = patches[-1]
     document = "".join(parts)
     if _digest(document) != last.digest:
-        raise PatchMismatchError(f"does not make table {number} of what is held")
+        raise PatchMismatchError(f"result of the patch does not match the digest of table {number}")
     return PublishedTable(number, last.format, document)
 
 
