--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -87,21 +87,21 @@
         self._avoided_until.clear()
         self._sharing.update_roster(self._addresses, instances, self._clock())
 
-    async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
+    async def acquire(self, address: str, limit: AdvertisedLimit, options: PermitOptions) -> float:
         """Return the time until one more request may be sent; see `LimitGate`."""
         question = PermitQuery(
             self._directory.name_at(address) or address,
             limit.requests_per_s,
             self._clock() - limit.advertised_at,
-            asked.max_wait_s,
-            asked.background,
+            options.max_wait_s,
+            options.background,
         )
         wait_s = await self._ask_owners(question)
         if wait_s is None:
             self._count("alone")
             wait_s = self._sharing.grant_without_owner(question, self._clock())
-            return _retry_delay_s(wait_s, asked.max_wait_s)
-        self._count("granted" if wait_s <= asked.max_wait_s else "refused")
+            return _retry_delay_s(wait_s, options.max_wait_s)
+        self._count("granted" if wait_s <= options.max_wait_s else "refused")
         return wait_s
 
     def updates(self) -> list[LimitUpdate]:
--- a/reachlink/lengths/_estimator.py
+++ b/reachlink/lengths/_estimator.py
@@ -25,7 +25,7 @@
 PRIOR_HAZARD = 0.25
 PRIOR_STRENGTH = 6.0
 PARENT_STRENGTH = 10.0
-FADE = 0.997
+DECAY = 0.997
 MAX_KEYS = 2048
 REFRESH_OBSERVATIONS = 8
 
@@ -54,7 +54,7 @@
     ended: array[float] = field(default_factory=_zeros)
     observations: int = 0
     curve: SurvivalCurve | None = None
-    curve_at: int = -1
+    curve_observations: int = -1
 
 
 class LengthEstimator:
@@ -82,14 +82,14 @@
     def __len__(self) -> int:
         return len(self._counts)
 
-    def observe(self, key: LengthKey, seen: int, tokens: int, ended: bool) -> None:
+    def observe(self, key: LengthKey, previous_tokens: int, tokens: int, ended: bool) -> None:
         """Record the progress of an answer since it was last reported.
 
         Parameters
         ----------
         key : LengthKey
             Key of the answer; the parents of the key learn from it as well.
-        seen : int
+        previous_tokens : int
             Tokens at the last report; 0 for a new answer.
         tokens : int
             Tokens now.
@@ -98,7 +98,7 @@
         """
         level: LengthKey | None = key
         while level is not None:
-            self._observe_one(level, seen, tokens, ended)
+            self._observe_one(level, previous_tokens, tokens, ended)
             level = level.parent()
 
     def curve(self, key: LengthKey) -> SurvivalCurve:
@@ -108,26 +108,26 @@
             parent = key.parent()
             return self.curve(parent) if parent else SurvivalCurve([PRIOR_HAZARD] * BUCKET_COUNT)
         self._counts.move_to_end(key)
-        stale = counts.observations - counts.curve_at >= REFRESH_OBSERVATIONS
+        stale = counts.observations - counts.curve_observations >= REFRESH_OBSERVATIONS
         if counts.curve is None or stale:
             counts.curve = SurvivalCurve(self._hazards(key))
-            counts.curve_at = counts.observations
+            counts.curve_observations = counts.observations
         return counts.curve
 
-    def _observe_one(self, key: LengthKey, seen: int, tokens: int, ended: bool) -> None:
-        counts = self._held(key)
+    def _observe_one(self, key: LengthKey, previous_tokens: int, tokens: int, ended: bool) -> None:
+        counts = self._get_or_create(key)
         last = bucket_of(tokens)
         # An answer that is in a bucket has reached it; the bucket of the last report is already
         # counted.
-        first = bucket_of(seen) + 1 if seen else 0
+        first = bucket_of(previous_tokens) + 1 if previous_tokens else 0
         for bucket in range(first, last + 1):
             counts.reached[bucket] += 1.0
         if ended:
             counts.ended[last] += 1.0
             counts.observations += 1
-            _fade(counts)
+            _decay(counts)
 
-    def _held(self, key: LengthKey) -> _Counts:
+    def _get_or_create(self, key: LengthKey) -> _Counts:
         counts = self._counts.get(key)
         if counts is None:
             counts = self._counts[key] = _Counts()
@@ -151,7 +151,7 @@
         ]
 
 
-def _fade(counts: _Counts) -> None:
+def _decay(counts: _Counts) -> None:
     for bucket in range(BUCKET_COUNT):
-        counts.reached[bucket] *= FADE
-        counts.ended[bucket] *= FADE
+        counts.reached[bucket] *= DECAY
+        counts.ended[bucket] *= DECAY
--- a/reachlink/lengths/_survival.py
+++ b/reachlink/lengths/_survival.py
@@ -4,7 +4,7 @@
 
 from reachlink.lengths._buckets import BUCKET_COUNT, bucket_of, bucket_start, bucket_width
 
-_LEAST = 1e-9
+_MIN_SURVIVAL = 1e-9
 
 
 class SurvivalCurve:
@@ -25,7 +25,7 @@
     def __init__(self, hazards: Sequence[float]) -> None:
         survival = [1.0]
         for hazard in hazards:
-            survival.append(max(_LEAST, survival[-1] * (1.0 - hazard)))
+            survival.append(max(_MIN_SURVIVAL, survival[-1] * (1.0 - hazard)))
         self._survival = survival
 
     def longer_than(self, length: int) -> float:
@@ -38,12 +38,12 @@
 
     def still_running(self, tokens: int, more: int) -> float:
         """Return the probability that an answer of `tokens` tokens has `more` further tokens."""
-        return self.longer_than(tokens + more) / max(_LEAST, self.longer_than(tokens))
+        return self.longer_than(tokens + more) / max(_MIN_SURVIVAL, self.longer_than(tokens))
 
     def expected_remaining(self, tokens: int) -> float:
         """Return the expected number of further tokens of an answer of `tokens` tokens."""
         first = bucket_of(tokens)
-        alive = max(_LEAST, self.longer_than(tokens))
+        alive = max(_MIN_SURVIVAL, self.longer_than(tokens))
         total = 0.0
         left = alive
         position = tokens
--- a/reachlink/limits/__init__.py
+++ b/reachlink/limits/__init__.py
@@ -1,7 +1,7 @@
 """Quotas of workspaces, fair queueing, and budgets for memory, bytes in flight and retries."""
 
 from reachlink.limits._buffer_budget import (
-    SHORT_BYTES,
+    MAX_SHORT_BYTES,
     UNDECLARED_BYTES,
     BufferBudget,
     BufferKind,
@@ -14,7 +14,7 @@
 from reachlink.limits._retries import RetryBudget, backoff_s
 
 __all__ = [
-    "SHORT_BYTES",
+    "MAX_SHORT_BYTES",
     "UNDECLARED_BYTES",
     "DrainRate",
     "FairQueue",
--- a/reachlink/limits/_buffer_budget.py
+++ b/reachlink/limits/_buffer_budget.py
@@ -11,18 +11,18 @@
 # High and low watermarks, as shares of the budget. Once the high watermark is reached, no long
 # body is admitted until usage falls to the low one. Buffering of answers ahead of their callers
 # stops above the low watermark, so that callers that do not read cause no refusals.
-HIGH_PART = 0.75
-LOW_PART = 0.6
+HIGH_WATERMARK_SHARE = 0.75
+LOW_WATERMARK_SHARE = 0.6
 # Share of the budget that one caller may use.
-CALLER_PART = 1 / 3
+CALLER_SHARE = 1 / 3
 # Share of the budget that one incoming answer may occupy ahead of its caller.
-AHEAD_PART = 1 / 16
+ANSWER_BUFFER_SHARE = 1 / 16
 # Largest size in bytes of a short body. The part of the budget above the high watermark is
 # reserved for short bodies and complete answers.
-SHORT_BYTES = 16 << 10
+MAX_SHORT_BYTES = 16 << 10
 # Size in bytes assumed for a body of undeclared length before it arrives, so that it counts as
 # long.
-UNDECLARED_BYTES = SHORT_BYTES + 1
+UNDECLARED_BYTES = MAX_SHORT_BYTES + 1
 
 
 class BufferKind(Enum):
@@ -44,14 +44,14 @@
 
     def __init__(self, limit: int = 0) -> None:
         self._limit = limit
-        self._high = int(limit * HIGH_PART)
-        self._low = int(limit * LOW_PART)
+        self._high_watermark = int(limit * HIGH_WATERMARK_SHARE)
+        self._low_watermark = int(limit * LOW_WATERMARK_SHARE)
         self._held = dict.fromkeys(BufferKind, 0)
         self._total = 0
-        self._pressed = False
+        self._under_pressure = False
         # Called with True when the high watermark is reached, and with False when usage falls to
         # the low one again.
-        self.on_pressure_change: Callable[[bool], None] = lambda pressed: None
+        self.on_pressure_change: Callable[[bool], None] = lambda under_pressure: None
 
     @property
     def limited(self) -> bool:
@@ -71,22 +71,22 @@
     @property
     def under_pressure(self) -> bool:
         """Whether long bodies are refused, until usage falls to the low watermark."""
-        return self._pressed
+        return self._under_pressure
 
     @property
     def may_buffer_answers(self) -> bool:
         """Whether incoming answers may be buffered ahead of their callers."""
-        return self._total <= self._low
+        return self._total <= self._low_watermark
 
     @property
     def caller_bytes(self) -> int:
         """Bytes that one caller may use at the most."""
-        return int(self._limit * CALLER_PART)
+        return int(self._limit * CALLER_SHARE)
 
     @property
     def answer_buffer_bytes(self) -> int:
         """Bytes that one incoming answer may occupy ahead of its caller at the most."""
-        return int(self._limit * AHEAD_PART)
+        return int(self._limit * ANSWER_BUFFER_SHARE)
 
     def bytes_of(self, kind: BufferKind) -> int:
         """Return the bytes of one kind held now."""
@@ -102,29 +102,31 @@
         """
         if not self._limit:
             return True
-        if size <= SHORT_BYTES:
+        if size <= MAX_SHORT_BYTES:
             return self._total + size <= self._limit
-        if self._pressed or size > self.caller_bytes:
+        if self._under_pressure or size > self.caller_bytes:
             return False
-        return self._total + size <= self._high
+        return self._total + size <= self._high_watermark
 
     def has_room(self, size: int, long: bool) -> bool:
         """Return whether `size` more bytes may be held, for a long body or otherwise."""
-        return self._total + size <= (self._high if long else self._limit)
+        return self._total + size <= (self._high_watermark if long else self._limit)
 
     def adjust(self, kind: BufferKind, size: int) -> None:
         """Add `size` bytes to the bytes held; a negative number releases bytes."""
         self._held[kind] += size
         self._total += size
-        pressed = self._total >= self._high or (self._pressed and self._total > self._low)
-        if pressed != self._pressed:
-            self._pressed = pressed
-            self.on_pressure_change(pressed)
-
-    def reclassify(self, kind: BufferKind, into: BufferKind, size: int) -> None:
+        under_pressure = self._total >= self._high_watermark or (
+            self._under_pressure and self._total > self._low_watermark
+        )
+        if under_pressure != self._under_pressure:
+            self._under_pressure = under_pressure
+            self.on_pressure_change(under_pressure)
+
+    def reclassify(self, kind: BufferKind, target: BufferKind, size: int) -> None:
         """Move `size` bytes from one kind to another; the total does not change."""
         self._held[kind] -= size
-        self._held[into] += size
+        self._held[target] += size
 
 
 class CallerBuffer:
@@ -178,7 +180,7 @@
             return True
         if not self.fits_caller_limit(size):
             return False
-        long = kind is not BufferKind.ANSWER and self._held[kind] + size > SHORT_BYTES
+        long = kind is not BufferKind.ANSWER and self._held[kind] + size > MAX_SHORT_BYTES
         if not self._budget.has_room(size, long):
             return False
         self._change(kind, size)
@@ -202,12 +204,12 @@
         self._change(kind, size - self._held[kind])
         return self._budget.may_buffer_answers and self.fits_caller_limit(0)
 
-    def reclassify(self, kind: BufferKind, into: BufferKind) -> None:
+    def reclassify(self, kind: BufferKind, target: BufferKind) -> None:
         """Move all bytes of one kind to another kind."""
         size = self._held[kind]
         self._held[kind] -= size
-        self._held[into] += size
-        self._budget.reclassify(kind, into, size)
+        self._held[target] += size
+        self._budget.reclassify(kind, target, size)
 
     def release(self) -> None:
         """Release everything held for this caller."""
--- a/reachlink/limits/_bytes_in_flight.py
+++ b/reachlink/limits/_bytes_in_flight.py
@@ -6,12 +6,12 @@
 similar, and exceeds it if some instances send more than their share of long bodies at once.
 """
 
-from reachlink.limits._buffer_budget import SHORT_BYTES
+from reachlink.limits._buffer_budget import MAX_SHORT_BYTES
 
 # Assumed capacity of a replica for requests from all instances, in bytes.
-REPLICA_BYTES = 64 << 20
+REPLICA_CAPACITY_BYTES = 64 << 20
 # Smallest share of one instance, in bytes.
-LEAST_SHARE_BYTES = 2 << 20
+MIN_SHARE_BYTES = 2 << 20
 
 
 class BytesInFlight:
@@ -19,15 +19,17 @@
 
     Parameters
     ----------
-    whole : int
+    capacity : int
         Capacity of a replica for requests from all instances, in bytes.
-    least : int
+    min_share : int
         Smallest share of one instance, in bytes.
     """
 
-    def __init__(self, whole: int = REPLICA_BYTES, least: int = LEAST_SHARE_BYTES) -> None:
-        self._whole = whole
-        self._least = least
+    def __init__(
+        self, capacity: int = REPLICA_CAPACITY_BYTES, min_share: int = MIN_SHARE_BYTES
+    ) -> None:
+        self._capacity = capacity
+        self._min_share = min_share
         self._sent: dict[str, int] = {}
 
     def bytes_at(self, replica: str) -> int:
@@ -47,9 +49,9 @@
         instances : int
             Number of instances that send to the replicas, including this one.
         """
-        if size <= SHORT_BYTES:
+        if size <= MAX_SHORT_BYTES:
             return frozenset()
-        share = max(self._least, self._whole // max(1, instances))
+        share = max(self._min_share, self._capacity // max(1, instances))
         return frozenset(name for name, sent in self._sent.items() if sent + size > share)
 
     def add(self, replica: str, size: int) -> None:
--- a/reachlink/limits/_drain_rate.py
+++ b/reachlink/limits/_drain_rate.py
@@ -19,26 +19,26 @@
         Decayed number of requests served.
     busy_s : float
         Decayed time in seconds during which the queue was not empty.
-    since : float, optional
+    updated_at : float, optional
         Monotonic time in seconds of the last update of a queue that is not empty; None while
         the queue is empty.
     """
 
     drained: float = 0.0
     busy_s: float = 0.0
-    since: float | None = None
+    updated_at: float | None = None
 
     def on_busy(self, now: float) -> None:
         """Record that the queue is not empty."""
-        if self.since is not None:
-            self._pass(now - self.since)
-        self.since = now
+        if self.updated_at is not None:
+            self._advance(now - self.updated_at)
+        self.updated_at = now
 
     def on_idle(self, now: float) -> None:
         """Record that the queue is empty."""
-        if self.since is not None:
-            self._pass(now - self.since)
-        self.since = None
+        if self.updated_at is not None:
+            self._advance(now - self.updated_at)
+        self.updated_at = None
 
     def on_drained(self, now: float) -> None:
         """Record that a queued request was served."""
@@ -50,13 +50,13 @@
         Returns 0 until the queue has been busy for some time, so that no request is refused
         for a wait that was never observed.
         """
-        busy = self.busy_s + (now - self.since if self.since is not None else 0.0)
+        busy = self.busy_s + (now - self.updated_at if self.updated_at is not None else 0.0)
         if busy <= 0.0:
             return 0.0
         # Adds one to the observed count: a queue that has just filled is not considered stuck yet.
         return position * busy / (self.drained + 1.0)
 
-    def _pass(self, passed_s: float) -> None:
-        fade = 0.5 ** (passed_s / HALF_LIFE_S)
-        self.drained *= fade
-        self.busy_s = self.busy_s * fade + passed_s
+    def _advance(self, elapsed_s: float) -> None:
+        decay = 0.5 ** (elapsed_s / HALF_LIFE_S)
+        self.drained *= decay
+        self.busy_s = self.busy_s * decay + elapsed_s
--- a/reachlink/limits/_fair_queue.py
+++ b/reachlink/limits/_fair_queue.py
@@ -33,7 +33,7 @@
         Weight of the workspace.
     cost : float
         Expected work, in tokens.
-    since : float
+    queued_at : float
         Monotonic time in seconds at which the request was queued.
     deadline : float
         Monotonic time in seconds after which the request is refused.
@@ -46,7 +46,7 @@
     priority: int
     weight: float
     cost: float
-    since: float
+    queued_at: float
     deadline: float
     start_tag: float = 0.0
 
@@ -55,60 +55,60 @@
 class FairQueue(Generic[T]):
     """Requests queued in one entry instance for one upstream."""
 
-    _waiting: list[FairQueueEntry[T]] = field(default_factory=list)
+    _entries: list[FairQueueEntry[T]] = field(default_factory=list)
     _finish_tags: dict[str, float] = field(default_factory=dict)
     _virtual_time: float = 0.0
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._entries)
 
     def count(self, workspace: str) -> int:
         """Return the number of queued requests of a workspace."""
-        return sum(1 for w in self._waiting if w.workspace == workspace)
+        return sum(1 for w in self._entries if w.workspace == workspace)
 
-    def push(self, waiting: FairQueueEntry[T]) -> None:
+    def push(self, entry: FairQueueEntry[T]) -> None:
         """Add a request."""
-        start = max(self._virtual_time, self._finish_tags.get(waiting.workspace, 0.0))
-        waiting.start_tag = start
-        self._finish_tags[waiting.workspace] = start + waiting.cost / waiting.weight
-        self._waiting.append(waiting)
+        start = max(self._virtual_time, self._finish_tags.get(entry.workspace, 0.0))
+        entry.start_tag = start
+        self._finish_tags[entry.workspace] = start + entry.cost / entry.weight
+        self._entries.append(entry)
 
-    def remove(self, waiting: FairQueueEntry[T]) -> None:
+    def remove(self, entry: FairQueueEntry[T]) -> None:
         """Remove a request, if it is queued."""
-        if waiting in self._waiting:
-            self._waiting.remove(waiting)
-            self._tidy()
+        if entry in self._entries:
+            self._entries.remove(entry)
+            self._reset_if_empty()
 
     def ordered(self, now: float) -> list[FairQueueEntry[T]]:
         """Return the requests in the order in which they should run."""
-        return sorted(self._waiting, key=lambda w: _order(w, now))
+        return sorted(self._entries, key=lambda w: _sort_key(w, now))
 
-    def take(self, waiting: FairQueueEntry[T]) -> None:
+    def take(self, entry: FairQueueEntry[T]) -> None:
         """Remove a request that is about to run."""
-        self._virtual_time = max(self._virtual_time, waiting.start_tag)
-        self.remove(waiting)
+        self._virtual_time = max(self._virtual_time, entry.start_tag)
+        self.remove(entry)
 
     def expired(self, now: float) -> list[FairQueueEntry[T]]:
         """Remove and return the requests whose deadline has passed."""
-        late = [w for w in self._waiting if w.deadline <= now]
-        for waiting in late:
-            self.remove(waiting)
+        late = [w for w in self._entries if w.deadline <= now]
+        for entry in late:
+            self.remove(entry)
         return late
 
     def shed(self, now: float) -> FairQueueEntry[T] | None:
         """Remove and return the request that would run last."""
-        if not self._waiting:
+        if not self._entries:
             return None
-        last = max(self._waiting, key=lambda w: _order(w, now))
+        last = max(self._entries, key=lambda w: _sort_key(w, now))
         self.remove(last)
         return last
 
-    def _tidy(self) -> None:
-        if not self._waiting:
+    def _reset_if_empty(self) -> None:
+        if not self._entries:
             self._finish_tags.clear()
             self._virtual_time = 0.0
 
 
-def _order(waiting: FairQueueEntry[T], now: float) -> tuple[float, float, float]:
-    aged = waiting.priority + int((now - waiting.since) / AGING_S_PER_LEVEL)
-    return (-aged, waiting.start_tag, waiting.since)
+def _sort_key(entry: FairQueueEntry[T], now: float) -> tuple[float, float, float]:
+    aged = entry.priority + int((now - entry.queued_at) / AGING_S_PER_LEVEL)
+    return (-aged, entry.start_tag, entry.queued_at)
--- a/reachlink/limits/_quotas.py
+++ b/reachlink/limits/_quotas.py
@@ -92,7 +92,7 @@
         """Return the demand at this instance for each limited workspace."""
         for key in [k for k, u in self._usage.items() if _is_idle(u, now)]:
             del self._usage[key]
-        return {key: _decayed(usage, now) for key, usage in self._usage.items()}
+        return {key: _decayed_demand(usage, now) for key, usage in self._usage.items()}
 
     def admit(
         self,
@@ -125,11 +125,11 @@
         if not limits.any:
             return None
         usage = self._usage.setdefault(key, _Usage(refilled_at=now, demand_at=now))
-        usage.demand = _decayed(usage, now) + 1.0
+        usage.demand = _decayed_demand(usage, now) + 1.0
         usage.demand_at = now
         share = fair_share(usage.demand, others.get(key, 0.0), instances)
         _refill(usage, limits, share, now)
-        refusal = _check(usage, limits, share)
+        refusal = _exceeded_limit(usage, limits, share)
         if refusal is None:
             usage.running += 1
             usage.requests -= 1.0
@@ -143,7 +143,7 @@
             usage.tokens -= tokens
 
 
-def _decayed(usage: _Usage, now: float) -> float:
+def _decayed_demand(usage: _Usage, now: float) -> float:
     return usage.demand * 0.5 ** ((now - usage.demand_at) / DEMAND_HALF_LIFE_S)
 
 
@@ -152,16 +152,16 @@
 
 
 def _refill(usage: _Usage, limits: QuotaLimits, share: float, now: float) -> None:
-    passed = now - usage.refilled_at
+    elapsed_s = now - usage.refilled_at
     usage.refilled_at = now
     # The capacity is at least one request; otherwise a small share would never admit any.
-    most = max(1.0, limits.requests_per_s * share * BURST_S)
-    usage.requests = min(most, usage.requests + limits.requests_per_s * share * passed)
-    most = limits.tokens_per_s * share * BURST_S
-    usage.tokens = min(most, usage.tokens + limits.tokens_per_s * share * passed)
+    capacity = max(1.0, limits.requests_per_s * share * BURST_S)
+    usage.requests = min(capacity, usage.requests + limits.requests_per_s * share * elapsed_s)
+    capacity = limits.tokens_per_s * share * BURST_S
+    usage.tokens = min(capacity, usage.tokens + limits.tokens_per_s * share * elapsed_s)
 
 
-def _check(usage: _Usage, limits: QuotaLimits, share: float) -> Refusal | None:
+def _exceeded_limit(usage: _Usage, limits: QuotaLimits, share: float) -> Refusal | None:
     if limits.concurrent and usage.running >= max(1, int(limits.concurrent * share + 0.5)):
         return Refusal(RefusalReason.CONCURRENT, 1.0)
     if limits.requests_per_s and usage.requests < 1.0:
--- a/reachlink/limits/_retries.py
+++ b/reachlink/limits/_retries.py
@@ -10,8 +10,8 @@
 
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 2.0
-MAX_SAVED = 20.0
-EARNED_AT_START = 3.0
+MAX_AVAILABLE = 20.0
+INITIALLY_AVAILABLE = 3.0
 
 
 @dataclass(slots=True)
@@ -20,29 +20,29 @@
 
     Attributes
     ----------
-    saved : float
+    available : float
         Retries that are available now.
-    most : float
-        Retries that may accumulate at the most.
+    max_available : float
+        Retries that may accumulate at the max_available.
     """
 
-    saved: float = EARNED_AT_START
-    most: float = MAX_SAVED
+    available: float = INITIALLY_AVAILABLE
+    max_available: float = MAX_AVAILABLE
 
     @property
     def has_retry(self) -> bool:
         """Whether a retry is available now."""
-        return self.saved >= 1.0
+        return self.available >= 1.0
 
     def on_first_attempt(self, share: float) -> None:
         """Add `share` of a retry, since a request was dispatched for the first time."""
-        self.saved = min(self.most, self.saved + share)
+        self.available = min(self.max_available, self.available + share)
 
     def take(self) -> bool:
         """Consume a retry if one is available; return whether there was one."""
         if not self.has_retry:
             return False
-        self.saved -= 1.0
+        self.available -= 1.0
         return True
 
 
--- a/reachlink/limits/tests/test_buffer_budget.py
+++ b/reachlink/limits/tests/test_buffer_budget.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from reachlink.limits import SHORT_BYTES, BufferBudget, BufferKind, CallerBuffer
+from reachlink.limits import MAX_SHORT_BYTES, BufferBudget, BufferKind, CallerBuffer
 
 MB = 1 << 20
 LIMIT = 24 * MB
@@ -33,10 +33,10 @@
     marks: list[bool] = []
     budget.on_pressure_change = marks.append
     held = taken(budget, *[LONG] * 4, 2 * MB)
-    assert budget.under_pressure and not budget.admits(SHORT_BYTES + 1)
+    assert budget.under_pressure and not budget.admits(MAX_SHORT_BYTES + 1)
     held[4].release()
     # Usage is between the watermarks: 16 of 24 MB.
-    assert budget.under_pressure and not budget.admits(SHORT_BYTES + 1)
+    assert budget.under_pressure and not budget.admits(MAX_SHORT_BYTES + 1)
     held[0].release()
     assert not budget.under_pressure and budget.admits(LONG)
     assert marks == [True, False]
@@ -45,11 +45,11 @@
 def test_short_bodies_are_admitted_up_to_the_limit():
     budget = BufferBudget(LIMIT)
     taken(budget, *[LONG] * 4, 2 * MB)
-    assert budget.admits(SHORT_BYTES)
+    assert budget.admits(MAX_SHORT_BYTES)
     shorts = 0
-    while CallerBuffer(budget).reserve(BufferKind.INCOMING, SHORT_BYTES):
+    while CallerBuffer(budget).reserve(BufferKind.INCOMING, MAX_SHORT_BYTES):
         shorts += 1
-    assert shorts == 6 * MB // SHORT_BYTES
+    assert shorts == 6 * MB // MAX_SHORT_BYTES
     assert budget.total == LIMIT and not budget.admits(1)
 
 
@@ -59,7 +59,7 @@
     ended = set()
     for _ in range(1000):
         for holding in holdings:
-            if holding not in ended and not holding.reserve(BufferKind.INCOMING, SHORT_BYTES):
+            if holding not in ended and not holding.reserve(BufferKind.INCOMING, MAX_SHORT_BYTES):
                 ended.add(holding)
     assert len(ended) == 6 and budget.total <= int(LIMIT * 0.75)
 
@@ -91,8 +91,8 @@
     for reader in readers:
         size = 0
         while reader.set_size(BufferKind.ANSWER, size) and size < MB:
-            size += SHORT_BYTES
-    assert not budget.under_pressure and budget.admits(2 * MB) and budget.admits(SHORT_BYTES)
+            size += MAX_SHORT_BYTES
+    assert not budget.under_pressure and budget.admits(2 * MB) and budget.admits(MAX_SHORT_BYTES)
 
 
 def test_complete_body_is_counted_once():
--- a/reachlink/pacing/_backoffs.py
+++ b/reachlink/pacing/_backoffs.py
@@ -9,26 +9,26 @@
 from random import Random
 
 # Maximum number of replicas tracked; well above the 710 replicas of the largest fleet.
-MAX_REMEMBERED = 2000
+MAX_TRACKED_REPLICAS = 2000
 # Maximum random extension of a backoff, as a share of it and in seconds; the smaller one applies.
 # It spreads the return of instances that were asked to wait until the same moment.
-SPREAD_SHARE = 0.25
-SPREAD_S = 0.5
+MAX_SPREAD_SHARE = 0.25
+MAX_SPREAD_S = 0.5
 # Longest time in seconds for which the first request after a backoff, the probe, is the only one
 # sent, if no answer arrives sooner. A replica that still wants no requests rejects the probe
 # within a few milliseconds.
-TRIAL_S = 0.25
+PROBE_TIMEOUT_S = 0.25
 # Time in seconds over which the load of a replica ramps up after an accepted probe, and the share
 # of its usual load at which the ramp starts.
 RAMP_S = 1.0
-FIRST_SHARE = 0.1
+RAMP_START_SHARE = 0.1
 # Time in seconds after which an expired backoff without a probe is dropped. By then, the requests
 # that waited for the end of the backoff are long gone.
-FORGOTTEN_S = 10.0
+UNPROBED_EXPIRY_S = 10.0
 # A backoff requested less than this many seconds before a restart of its replica became known may
 # come from the restarted replica and is kept. Replica lists and reports announce restarts some
 # seconds late, or about 30 s late while the platform's list is unavailable.
-START_KNOWN_S = 30.0
+RESTART_REPORT_DELAY_S = 30.0
 
 
 @dataclass(slots=True)
@@ -39,37 +39,37 @@
     ----------
     until : float
         End of the backoff.
-    asked_at : float
+    requested_at : float
         Time of the replica's most recent request for a backoff.
-    tried_at : float, optional
+    probed_at : float, optional
         Time at which the probe was sent.
     answered_at : float, optional
         Time of the first answer after the probe was sent.
     """
 
     until: float
-    asked_at: float
-    tried_at: float | None = None
+    requested_at: float
+    probed_at: float | None = None
     answered_at: float | None = None
 
     def share(self, now: float) -> float:
         """Return the share of its usual requests that the replica may get, from 0 to 1."""
         if now < self.until:
             return 0.0
-        if self.tried_at is None:
+        if self.probed_at is None:
             return 1.0
-        trial_ends = self.tried_at + TRIAL_S
+        probe_ends = self.probed_at + PROBE_TIMEOUT_S
         if self.answered_at is not None:
-            trial_ends = min(trial_ends, self.answered_at)
-        if now < trial_ends:
+            probe_ends = min(probe_ends, self.answered_at)
+        if now < probe_ends:
             return 0.0
-        return min(1.0, FIRST_SHARE + (1.0 - FIRST_SHARE) * (now - trial_ends) / RAMP_S)
+        return min(1.0, RAMP_START_SHARE + (1.0 - RAMP_START_SHARE) * (now - probe_ends) / RAMP_S)
 
     def is_over(self, now: float) -> bool:
         """Return whether the backoff and the ramp after it are over, so that it can be dropped."""
-        if self.tried_at is None:
-            return now >= self.until + FORGOTTEN_S
-        return now >= self.tried_at + TRIAL_S + RAMP_S
+        if self.probed_at is None:
+            return now >= self.until + UNPROBED_EXPIRY_S
+        return now >= self.probed_at + PROBE_TIMEOUT_S + RAMP_S
 
 
 class BackoffTracker:
@@ -96,11 +96,11 @@
         Of several backoffs the latest end applies: a shorter one does not revoke an earlier,
         longer one, since answers may arrive out of order.
         """
-        spread_s = self._random.random() * min(SPREAD_S, SPREAD_SHARE * wait_s)
+        spread_s = self._random.random() * min(MAX_SPREAD_S, MAX_SPREAD_SHARE * wait_s)
         until = now + wait_s + spread_s
-        before = self._backoffs.get(address)
-        if before is not None:
-            until = max(until, before.until)
+        previous = self._backoffs.get(address)
+        if previous is not None:
+            until = max(until, previous.until)
         self._make_room(address, now)
         self._backoffs[address] = _Backoff(until, now)
 
@@ -131,19 +131,19 @@
     def note_sent(self, address: str, now: float) -> None:
         """Record that a request is sent; the first one after a backoff is the probe."""
         backoff = self._backoffs.get(address)
-        if backoff is not None and backoff.tried_at is None and now >= backoff.until:
-            backoff.tried_at = now
+        if backoff is not None and backoff.probed_at is None and now >= backoff.until:
+            backoff.probed_at = now
 
     def note_answer(self, address: str, now: float) -> None:
         """Record that a replica answered a request without asking for a backoff."""
         backoff = self._backoffs.get(address)
-        if backoff is not None and backoff.tried_at is not None and backoff.answered_at is None:
+        if backoff is not None and backoff.probed_at is not None and backoff.answered_at is None:
             backoff.answered_at = now
 
     def on_restart(self, address: str, now: float) -> None:
         """Drop a backoff that was requested before the replica restarted."""
         backoff = self._backoffs.get(address)
-        if backoff is not None and now - backoff.asked_at > START_KNOWN_S:
+        if backoff is not None and now - backoff.requested_at > RESTART_REPORT_DELAY_S:
             del self._backoffs[address]
 
     def on_address_reused(self, address: str) -> None:
@@ -156,8 +156,8 @@
 
     def _make_room(self, address: str, now: float) -> None:
         """Drop completed entries and, if still at the maximum, the backoff that ends first."""
-        if address in self._backoffs or len(self._backoffs) < MAX_REMEMBERED:
+        if address in self._backoffs or len(self._backoffs) < MAX_TRACKED_REPLICAS:
             return
-        self._backoffs = {name: r for name, r in self._backoffs.items() if not r.is_over(now)}
-        if len(self._backoffs) >= MAX_REMEMBERED:
+        self._backoffs = {name: b for name, b in self._backoffs.items() if not b.is_over(now)}
+        if len(self._backoffs) >= MAX_TRACKED_REPLICAS:
             del self._backoffs[min(self._backoffs, key=lambda name: self._backoffs[name].until)]
--- a/reachlink/pacing/_gate.py
+++ b/reachlink/pacing/_gate.py
@@ -27,7 +27,7 @@
 class LimitGate(Protocol):
     """Grants permits for requests to replicas with a rate limit."""
 
-    async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
+    async def acquire(self, address: str, limit: AdvertisedLimit, options: PermitOptions) -> float:
         """Return the time in seconds until one more request may be sent.
 
         Parameters
@@ -36,7 +36,7 @@
             Address of the replica.
         limit : AdvertisedLimit
             Rate limit that the replica advertised.
-        asked : PermitOptions
+        options : PermitOptions
             Options of the request.
 
         Returns
@@ -58,11 +58,11 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._meters: dict[str, RateLimiter] = {}
+        self._limiters: dict[str, RateLimiter] = {}
 
-    async def acquire(self, address: str, limit: AdvertisedLimit, asked: PermitOptions) -> float:
+    async def acquire(self, address: str, limit: AdvertisedLimit, options: PermitOptions) -> float:
         """Return the time in seconds until one more request may be sent."""
         now = self._clock()
-        meter = self._meters.setdefault(address, RateLimiter(limit.requests_per_s, now))
-        meter.set_rate(limit.requests_per_s, now)
-        return meter.take(now, asked.max_wait_s, asked.background)
+        limiter = self._limiters.setdefault(address, RateLimiter(limit.requests_per_s, now))
+        limiter.set_rate(limit.requests_per_s, now)
+        return limiter.take(now, options.max_wait_s, options.background)
--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -10,21 +10,21 @@
 
 # Lowest limit in requests per second that is enforced. A replica that advertises less, or 0, still
 # gets one request in 10 s that asks whether the limit is in force; otherwise it would never end.
-LOWEST_PER_S = 0.1
+MIN_REQUESTS_PER_S = 0.1
 # Highest limit in requests per second; higher values are reduced to it. It exceeds the load of the
 # whole fleet.
-HIGHEST_PER_S = 1e6
+MAX_REQUESTS_PER_S = 1e6
 # Longest time in seconds until a permit is requested again, however late the next permit was
 # announced: the instance that grants permits may change, and so may the share that it grants.
-ASKED_AGAIN_S = 0.5
+MAX_PERMIT_POLL_S = 0.5
 # Maximum number of replicas tracked; well above the 710 replicas of the largest fleet.
-MAX_REMEMBERED = 2000
+MAX_TRACKED_REPLICAS = 2000
 # Time in seconds for which the end of a limit is remembered; longer than the delay with which
 # other instances report the limit.
-ENDED_KEPT_S = 60.0
+ENDED_RETENTION_S = 60.0
 # A limit advertised less than this many seconds before a restart of its replica became known may
 # come from the restarted replica and is kept; otherwise the next answer without a limit ends it.
-START_KNOWN_S = 30.0
+RESTART_REPORT_DELAY_S = 30.0
 
 
 def parse_limit(text: str) -> float:
@@ -38,7 +38,7 @@
     requests_per_s = float(text)
     if not math.isfinite(requests_per_s) or requests_per_s < 0.0:
         raise ValueError(f"rate limit is not a finite number of at least 0: {text}")
-    return min(HIGHEST_PER_S, max(LOWEST_PER_S, requests_per_s))
+    return min(MAX_REQUESTS_PER_S, max(MIN_REQUESTS_PER_S, requests_per_s))
 
 
 @dataclass(slots=True)
@@ -51,16 +51,16 @@
         Requests per second that the replica accepts from all instances together.
     advertised_at : float
         Monotonic time in seconds at which the replica last advertised the limit.
-    free_at : float
+    next_permit_at : float
         Monotonic time in seconds of this instance's next permit, as last announced.
-    asked_again_at : float
+    poll_at : float
         Monotonic time in seconds from which a permit is requested again.
     """
 
     requests_per_s: float
     advertised_at: float
-    free_at: float = float("-inf")
-    asked_again_at: float = float("-inf")
+    next_permit_at: float = float("-inf")
+    poll_at: float = float("-inf")
 
 
 class LimitTracker:
@@ -93,16 +93,16 @@
         """
         if advertised_at <= self._ended.get(address, float("-inf")):
             return False
-        before = self._limits.get(address)
-        if before is not None and before.advertised_at >= advertised_at:
+        previous = self._limits.get(address)
+        if previous is not None and previous.advertised_at >= advertised_at:
             return False
-        if before is None:
+        if previous is None:
             self._make_room(advertised_at)
             self._limits[address] = AdvertisedLimit(requests_per_s, advertised_at)
             return True
-        news = before.requests_per_s != requests_per_s
-        before.requests_per_s, before.advertised_at = requests_per_s, advertised_at
-        return news
+        changed = previous.requests_per_s != requests_per_s
+        previous.requests_per_s, previous.advertised_at = requests_per_s, advertised_at
+        return changed
 
     def record_absence(self, address: str, sent_at: float, now: float) -> bool:
         """Record an answer without a limit; return whether it ends the replica's limit.
@@ -123,7 +123,7 @@
         if limit is None or sent_at <= limit.advertised_at:
             return False
         del self._limits[address]
-        self._ended = {a: at for a, at in self._ended.items() if now - at < ENDED_KEPT_S}
+        self._ended = {a: at for a, at in self._ended.items() if now - at < ENDED_RETENTION_S}
         self._ended[address] = sent_at
         return True
 
@@ -143,13 +143,13 @@
         """Record that this instance gets no permit for `remaining_s` seconds."""
         limit = self._limits.get(address)
         if limit is not None:
-            limit.free_at = now + remaining_s
-            limit.asked_again_at = now + min(remaining_s, ASKED_AGAIN_S)
+            limit.next_permit_at = now + remaining_s
+            limit.poll_at = now + min(remaining_s, MAX_PERMIT_POLL_S)
 
     def remaining_s(self, address: str, now: float) -> float:
         """Return the time in seconds until this instance's next permit; 0 if one may be free."""
         limit = self._limits.get(address)
-        return max(0.0, limit.free_at - now) if limit is not None else 0.0
+        return max(0.0, limit.next_permit_at - now) if limit is not None else 0.0
 
     def holds(self, address: str, now: float) -> bool:
         """Return whether a replica gets less than its usual load now."""
@@ -158,7 +158,7 @@
     def admits(self, address: str, now: float) -> bool:
         """Return whether it is worthwhile to request a permit for a replica."""
         limit = self._limits.get(address)
-        return limit is None or now >= limit.asked_again_at
+        return limit is None or now >= limit.poll_at
 
     def note_sent(self, address: str, now: float) -> None:
         """Do nothing: a request is counted when its permit is granted."""
@@ -169,7 +169,7 @@
     def on_restart(self, address: str, now: float) -> None:
         """Drop a limit that was advertised before the replica restarted."""
         limit = self._limits.get(address)
-        if limit is not None and now - limit.advertised_at > START_KNOWN_S:
+        if limit is not None and now - limit.advertised_at > RESTART_REPORT_DELAY_S:
             del self._limits[address]
 
     def on_address_reused(self, address: str) -> None:
@@ -182,5 +182,5 @@
         return len(self._limits)
 
     def _make_room(self, now: float) -> None:
-        if len(self._limits) >= MAX_REMEMBERED:
+        if len(self._limits) >= MAX_TRACKED_REPLICAS:
             del self._limits[min(self._limits, key=lambda a: self._limits[a].advertised_at)]
--- a/reachlink/pacing/_pacing_tracker.py
+++ b/reachlink/pacing/_pacing_tracker.py
@@ -104,7 +104,7 @@
         """Return for how many seconds a replica may get no request by its own demand."""
         return max(kind.remaining_s(address, now) for kind in self._kinds)
 
-    def admits(self, address: str, now: float, within_s: float = 0.0) -> bool:
+    def admits(self, address: str, now: float, max_wait_s: float = 0.0) -> bool:
         """Return whether another request may be sent to a replica.
 
         Parameters
@@ -113,7 +113,7 @@
             Address of the replica.
         now : float
             Monotonic time in seconds.
-        within_s : float
+        max_wait_s : float
             Longest time in seconds that the request may wait for a permit at a replica with
             a rate limit.
         """
@@ -121,7 +121,7 @@
             return False
         if self.limits.admits(address, now):
             return True
-        return self.limits.remaining_s(address, now) <= within_s
+        return self.limits.remaining_s(address, now) <= max_wait_s
 
     def hold(self, addresses: Sequence[str], now: float) -> Hold | None:
         """Return why and for how long none of some replicas is fully available.
@@ -140,8 +140,8 @@
         """
         if not addresses or not all(self._holds(address, now) for address in addresses):
             return None
-        first = min(addresses, key=lambda address: self._placed_in_s(address, now))
-        return Hold(self._placed_in_s(first, now), self._reason(first, now))
+        first = min(addresses, key=lambda address: self._time_until_available(address, now))
+        return Hold(self._time_until_available(first, now), self._reason(first, now))
 
     def note_sent(self, address: str, now: float) -> None:
         """Record that a request is sent."""
@@ -171,7 +171,7 @@
             return True
         return any(kind.holds(address, now) for kind in self._kinds)
 
-    def _placed_in_s(self, address: str, now: float) -> float:
+    def _time_until_available(self, address: str, now: float) -> float:
         """Return the time in seconds until a replica may be chosen for a request."""
         return max(self.remaining_s(address, now), self.refusals.remaining_s(address, now))
 
--- a/reachlink/pacing/_rate_limiter.py
+++ b/reachlink/pacing/_rate_limiter.py
@@ -13,7 +13,7 @@
 # Unused permits that accumulate at the most, in addition to the next one. A limit is stated per
 # second, so two requests at once do not overload the replica, and the slack tolerates requests
 # that arrive slightly early.
-SAVED = 1.0
+MAX_UNUSED_PERMITS = 1.0
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
             reserved.
         """
         interval_s = 1.0 / self.permits_per_s
-        earliest = max(self.free_at, now - SAVED * interval_s)
+        earliest = max(self.free_at, now - MAX_UNUSED_PERMITS * interval_s)
         wanted = self.free_at + interval_s if background else earliest
         wait_s = max(0.0, wanted - now)
         if wait_s <= max_wait_s:
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -26,13 +26,13 @@
 # Time in seconds for which instances that left the roster are still counted in the total. During a
 # network partition the roster shrinks to this side after 30 s, while the instances on the other
 # side still send.
-KNOWN_KEPT_S = 300.0
+ROSTER_RETENTION_S = 300.0
 # Time in seconds after its start during which an instance grants only a small share of a limit,
 # and that share. While all instances start at once, each may not know the others yet.
 SETTLE_S = 2.0
 UNSETTLED_SHARE = 0.1
 # Maximum number of replicas whose permits are counted.
-MAX_METERS = 2000
+MAX_RATE_LIMITERS = 2000
 
 
 def partition_share(heard: int, known: int) -> float:
@@ -53,7 +53,7 @@
     return 1.0 if 2 * heard > known else heard / known
 
 
-def rendezvous_order(names: Iterable[str], owned: str) -> list[str]:
+def rendezvous_order(names: Iterable[str], resource: str) -> list[str]:
     """Return the possible owners of a resource in order of precedence.
 
     Uses rendezvous hashing: one instance more or less changes the owner of few resources.
@@ -62,14 +62,14 @@
     ----------
     names : iterable of str
         Instances that may own the resource.
-    owned : str
+    resource : str
         Name of the resource: a replica, for its rate limit, or a service, for its queue.
     """
-    return sorted(names, key=lambda name: _hash(name, owned), reverse=True)
+    return sorted(names, key=lambda name: _hash(name, resource), reverse=True)
 
 
-def _hash(instance: str, owned: str) -> bytes:
-    return hashlib.blake2b(f"{instance} {owned}".encode(), digest_size=8).digest()
+def _hash(instance: str, resource: str) -> bytes:
+    return hashlib.blake2b(f"{instance} {resource}".encode(), digest_size=8).digest()
 
 
 class LimitSharing:
@@ -94,33 +94,33 @@
         self._known: dict[str, float] = {}
         self._owners: list[str] = []
         # Numbers of instances, with the monotonic time at which each number was last current.
-        self._counts: dict[int, float] = {}
-        self._since: float | None = None
-        self._owned: dict[str, RateLimiter] = {}
-        self._alone: dict[str, RateLimiter] = {}
+        self._instance_counts: dict[int, float] = {}
+        self._started_at: float | None = None
+        self._owner_limiters: dict[str, RateLimiter] = {}
+        self._own_limiters: dict[str, RateLimiter] = {}
         # Time of each replica's most recent limit and the limit in requests per second, for the
         # limits that this instance grants.
         self._advertised: dict[str, tuple[float, float]] = {}
-        self._ranked: dict[str, list[str]] = {}
+        self._owner_order: dict[str, list[str]] = {}
 
     def update_roster(self, owners: Iterable[str], instances: int, now: float) -> None:
         """Update the instances that may own limits, and the number of all instances."""
         names = sorted(owners)
         if names != self._owners:
             self._owners = names
-            self._ranked.clear()
-        if self._since is None and names:
-            self._since = now
-        self._known = _recent(self._known | dict.fromkeys(names, now), now)
-        self._counts = _recent(self._counts | {instances: now}, now)
+            self._owner_order.clear()
+        if self._started_at is None and names:
+            self._started_at = now
+        self._known = _without_expired(self._known | dict.fromkeys(names, now), now)
+        self._instance_counts = _without_expired(self._instance_counts | {instances: now}, now)
 
     def owners(self, replica: str) -> list[str]:
         """Return the instances that may own a replica's limit, in order of precedence."""
-        found = self._ranked.get(replica)
+        found = self._owner_order.get(replica)
         if found is None:
-            if len(self._ranked) >= MAX_METERS:
-                self._ranked.clear()
-            found = self._ranked[replica] = rendezvous_order(self._owners, replica)
+            if len(self._owner_order) >= MAX_RATE_LIMITERS:
+                self._owner_order.clear()
+            found = self._owner_order[replica] = rendezvous_order(self._owners, replica)
         return found
 
     def is_owner(self, replica: str, now: float) -> bool:
@@ -137,58 +137,58 @@
 
     def share(self, now: float) -> float:
         """Return the share of each limit that this instance's side of a partition grants."""
-        if self._since is None or now - self._since < SETTLE_S:
+        if self._started_at is None or now - self._started_at < SETTLE_S:
             return UNSETTLED_SHARE
         heard = sum(name == self._name or self._hears(name, now) for name in self._known)
         return partition_share(heard, len(self._known))
 
-    def grant(self, question: PermitQuery, now: float) -> float:
+    def grant(self, query: PermitQuery, now: float) -> float:
         """Return the wait in seconds for a permit, as owner of the limit.
 
         See `RateLimiter.take`.
         """
-        requests_per_s = self._newest(question, now) * self.share(now)
-        meter = self._owned.get(question.replica)
-        if meter is None:
-            _make_room(self._owned)
-            meter = self._owned[question.replica] = RateLimiter(requests_per_s, now)
-        meter.set_rate(requests_per_s, now)
-        return meter.take(now, question.max_wait_s, question.background)
-
-    def grant_without_owner(self, question: PermitQuery, now: float) -> float:
+        requests_per_s = self._latest_rate(query, now) * self.share(now)
+        limiter = self._owner_limiters.get(query.replica)
+        if limiter is None:
+            _make_room(self._owner_limiters)
+            limiter = self._owner_limiters[query.replica] = RateLimiter(requests_per_s, now)
+        limiter.set_rate(requests_per_s, now)
+        return limiter.take(now, query.max_wait_s, query.background)
+
+    def grant_without_owner(self, query: PermitQuery, now: float) -> float:
         """Return the wait in seconds for a permit for a request of this instance without an owner.
 
         Used while this instance reaches no owner of the limit; see `RateLimiter.take`.
         """
-        requests_per_s = question.requests_per_s / max(1, len(self._known), *self._counts)
-        meter = self._alone.get(question.replica)
-        if meter is None:
-            _make_room(self._alone)
+        requests_per_s = query.requests_per_s / max(1, len(self._known), *self._instance_counts)
+        limiter = self._own_limiters.get(query.replica)
+        if limiter is None:
+            _make_room(self._own_limiters)
             # If hundreds of instances lose the owner at the same moment, they must not all start
             # with a permit at once.
             first_s = self._random.random() / requests_per_s
-            meter = self._alone[question.replica] = RateLimiter(requests_per_s, now + first_s)
-        meter.set_rate(requests_per_s, now)
-        return meter.take(now, question.max_wait_s, question.background)
-
-    def _newest(self, question: PermitQuery, now: float) -> float:
-        """Return the replica's most recent limit among those that any question reported."""
-        advertised_at, requests_per_s = self._advertised.get(question.replica, (float("-inf"), 0.0))
-        if now - question.age_s >= advertised_at:
-            advertised_at, requests_per_s = now - question.age_s, question.requests_per_s
-            if len(self._advertised) >= MAX_METERS:
+            limiter = self._own_limiters[query.replica] = RateLimiter(requests_per_s, now + first_s)
+        limiter.set_rate(requests_per_s, now)
+        return limiter.take(now, query.max_wait_s, query.background)
+
+    def _latest_rate(self, query: PermitQuery, now: float) -> float:
+        """Return the replica's most recent limit among those that any query reported."""
+        advertised_at, requests_per_s = self._advertised.get(query.replica, (float("-inf"), 0.0))
+        if now - query.age_s >= advertised_at:
+            advertised_at, requests_per_s = now - query.age_s, query.requests_per_s
+            if len(self._advertised) >= MAX_RATE_LIMITERS:
                 self._advertised.clear()
-            self._advertised[question.replica] = (advertised_at, requests_per_s)
+            self._advertised[query.replica] = (advertised_at, requests_per_s)
         return requests_per_s
 
     def _hears(self, name: str, now: float) -> bool:
         return now - self._heard_at(name) <= PEER_SILENCE_TIMEOUT_S
 
 
-def _recent(seen: dict[_Key, float], now: float) -> dict[_Key, float]:
-    return {key: at for key, at in seen.items() if now - at <= KNOWN_KEPT_S}
+def _without_expired(seen: dict[_Key, float], now: float) -> dict[_Key, float]:
+    return {key: at for key, at in seen.items() if now - at <= ROSTER_RETENTION_S}
 
 
-def _make_room(meters: dict[str, RateLimiter]) -> None:
-    if len(meters) >= MAX_METERS:
-        del meters[min(meters, key=lambda replica: meters[replica].free_at)]
+def _make_room(limiters: dict[str, RateLimiter]) -> None:
+    if len(limiters) >= MAX_RATE_LIMITERS:
+        del limiters[min(limiters, key=lambda replica: limiters[replica].free_at)]
--- a/reachlink/pacing/tests/test_backoffs.py
+++ b/reachlink/pacing/tests/test_backoffs.py
@@ -10,7 +10,7 @@
 A, B = "10.0.0.1:1", "10.0.0.2:1"
 BACKOFF_S = 3.0
 # Latest end of the backoff, including its random extension.
-ENDED_S = BACKOFF_S + backoffs.SPREAD_S
+ENDED_S = BACKOFF_S + backoffs.MAX_SPREAD_S
 
 
 @pytest.fixture
@@ -38,7 +38,7 @@
     book.record(A, BACKOFF_S, 0.0)
     assert book.admits(A, ENDED_S)
     book.note_sent(A, ENDED_S)
-    assert not any(book.admits(A, ENDED_S + backoffs.TRIAL_S * n / 10) for n in range(10))
+    assert not any(book.admits(A, ENDED_S + backoffs.PROBE_TIMEOUT_S * n / 10) for n in range(10))
 
 
 def admitted(book: BackoffTracker, since: float, ask_s: float) -> list[int]:
@@ -54,9 +54,9 @@
     book.note_sent(A, ENDED_S)
     if answered:
         book.note_answer(A, ENDED_S + 0.01)
-    shares = admitted(book, ENDED_S, 0.01 if answered else backoffs.TRIAL_S)
+    shares = admitted(book, ENDED_S, 0.01 if answered else backoffs.PROBE_TIMEOUT_S)
     assert shares[0] < 30 < 60 < shares[-1]
-    assert book.admits(A, ENDED_S + backoffs.TRIAL_S + backoffs.RAMP_S)
+    assert book.admits(A, ENDED_S + backoffs.PROBE_TIMEOUT_S + backoffs.RAMP_S)
     # The backoff is dropped after the ramp.
     assert book.is_empty
 
@@ -78,7 +78,7 @@
     """Hundreds of instances asked to wait until the same moment must not return at once."""
     ends = sorted(_end(Random(seed)) for seed in range(200))
     assert ends[0] >= BACKOFF_S and ends[-1] <= ENDED_S
-    assert ends[150] - ends[50] > backoffs.SPREAD_S / 4
+    assert ends[150] - ends[50] > backoffs.MAX_SPREAD_S / 4
 
 
 def _end(random: Random) -> float:
@@ -89,8 +89,8 @@
 
 def test_restart_ends_an_earlier_backoff(book):
     book.record(A, 3600.0, 0.0)
-    book.on_restart(A, backoffs.START_KNOWN_S + 1.0)
-    assert book.admits(A, backoffs.START_KNOWN_S + 1.0)
+    book.on_restart(A, backoffs.RESTART_REPORT_DELAY_S + 1.0)
+    assert book.admits(A, backoffs.RESTART_REPORT_DELAY_S + 1.0)
 
 
 def test_restart_keeps_a_recent_backoff(book):
@@ -107,13 +107,13 @@
 
 
 def test_number_of_backoffs_is_bounded_and_the_longest_are_kept(book):
-    for number in range(backoffs.MAX_REMEMBERED + 50):
+    for number in range(backoffs.MAX_TRACKED_REPLICAS + 50):
         book.record(f"10.0.0.1:{number}", 10.0 + number, 0.0)
-    assert book.count(0.0) == backoffs.MAX_REMEMBERED
-    assert book.remaining_s(f"10.0.0.1:{backoffs.MAX_REMEMBERED + 49}", 0.0) > 0.0
+    assert book.count(0.0) == backoffs.MAX_TRACKED_REPLICAS
+    assert book.remaining_s(f"10.0.0.1:{backoffs.MAX_TRACKED_REPLICAS + 49}", 0.0) > 0.0
 
 
 def test_expired_backoff_without_a_probe_is_dropped(book):
     book.record(A, BACKOFF_S, 0.0)
-    assert book.admits(A, ENDED_S + backoffs.FORGOTTEN_S)
+    assert book.admits(A, ENDED_S + backoffs.UNPROBED_EXPIRY_S)
     assert book.is_empty
--- a/reachlink/pacing/tests/test_limits.py
+++ b/reachlink/pacing/tests/test_limits.py
@@ -3,17 +3,23 @@
 import pytest
 
 from reachlink.pacing import LimitTracker, parse_limit
-from reachlink.pacing._limits import HIGHEST_PER_S, LOWEST_PER_S
+from reachlink.pacing._limits import MAX_REQUESTS_PER_S, MIN_REQUESTS_PER_S
 
 A = "10.0.0.1:1"
 
 
 @pytest.mark.parametrize(
     "text, per_s",
-    [("3.3", 3.3), (" 7 ", 7.0), ("0", LOWEST_PER_S), ("0.0001", LOWEST_PER_S), ("1e9", None)],
+    [
+        ("3.3", 3.3),
+        (" 7 ", 7.0),
+        ("0", MIN_REQUESTS_PER_S),
+        ("0.0001", MIN_REQUESTS_PER_S),
+        ("1e9", None),
+    ],
 )
 def test_advertised_rates_are_clipped_to_the_enforced_range(text, per_s):
-    assert parse_limit(text) == (HIGHEST_PER_S if per_s is None else per_s)
+    assert parse_limit(text) == (MAX_REQUESTS_PER_S if per_s is None else per_s)
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-inf", "-1", "", "3/s", "three", "1,5"])
--- a/reachlink/pacing/tests/test_pacing_tracker.py
+++ b/reachlink/pacing/tests/test_pacing_tracker.py
@@ -7,11 +7,11 @@
 from reachlink.pacing import HoldReason, PacingTracker
 from reachlink.pacing import _backoffs as backoffs
 from reachlink.pacing import _refusals as refusals
-from reachlink.pacing._limits import ASKED_AGAIN_S
+from reachlink.pacing._limits import MAX_PERMIT_POLL_S
 
 A, B = "10.0.0.1:1", "10.0.0.2:1"
 BACKOFF_S = 3.0
-ENDED_S = BACKOFF_S + backoffs.SPREAD_S
+ENDED_S = BACKOFF_S + backoffs.MAX_SPREAD_S
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
     assert not book.admits(A, BACKOFF_S)
     block(book, A, 60.0)
     assert book.remaining_s(A, 0.0) == 60.0
-    assert not book.admits(A, ASKED_AGAIN_S)
+    assert not book.admits(A, MAX_PERMIT_POLL_S)
     block(book, B, 0.4)
     assert not book.admits(B, 0.3)
     assert book.admits(B, 0.4)
@@ -59,9 +59,9 @@
 def test_requests_may_wait_for_a_permit_but_not_for_a_backoff(book):
     block(book, A, 0.4)
     assert not book.admits(A, 0.0)
-    assert book.admits(A, 0.0, within_s=0.4)
+    assert book.admits(A, 0.0, max_wait_s=0.4)
     book.backoffs.record(A, 0.1, 0.0)
-    assert not book.admits(A, 0.0, within_s=0.4)
+    assert not book.admits(A, 0.0, max_wait_s=0.4)
 
 
 def test_state_is_dropped_if_the_address_is_reused(book):
@@ -79,10 +79,10 @@
     grants a small share only, and may announce a wait of 20 s.
     """
     block(book, A, 20.0)
-    assert not book.admits(A, ASKED_AGAIN_S / 2)
-    assert book.admits(A, ASKED_AGAIN_S)
+    assert not book.admits(A, MAX_PERMIT_POLL_S / 2)
+    assert book.admits(A, MAX_PERMIT_POLL_S)
     # Callers are told the wait that was announced last.
-    assert book.hold([A], ASKED_AGAIN_S).remaining_s == 20.0 - ASKED_AGAIN_S
+    assert book.hold([A], MAX_PERMIT_POLL_S).remaining_s == 20.0 - MAX_PERMIT_POLL_S
 
 
 def test_refusals_affect_placement_only(book):
@@ -93,7 +93,7 @@
     book.refusals.note_refused(B, 0.0, 0.0)
     held = book.hold([A, B], 0.01)
     assert held.reason is HoldReason.REFUSING
-    assert held.remaining_s == pytest.approx(refusals.FIRST_S - 0.01)
+    assert held.remaining_s == pytest.approx(refusals.FIRST_WAIT_S - 0.01)
 
 
 @pytest.mark.parametrize("end", [lambda b: b.on_restart(A, 1.0), lambda b: b.on_address_reused(A)])
--- a/reachlink/pacing/tests/test_refusals.py
+++ b/reachlink/pacing/tests/test_refusals.py
@@ -26,13 +26,13 @@
 
 def test_first_refusal_causes_a_short_wait(book):
     book.note_refused(A, 0.0, 0.01)
-    assert book.remaining_s(A, 0.01) == refusals.FIRST_S
-    assert book.remaining_s(A, 0.01 + refusals.FIRST_S) == 0.0
+    assert book.remaining_s(A, 0.01) == refusals.FIRST_WAIT_S
+    assert book.remaining_s(A, 0.01 + refusals.FIRST_WAIT_S) == 0.0
     assert book.remaining_s(B, 0.01) == 0.0
 
 
 def test_no_probe_is_needed_after_a_single_refusal(book):
-    now = refuse(book, 1) + refusals.FIRST_S
+    now = refuse(book, 1) + refusals.FIRST_WAIT_S
     book.note_sent(A, now)
     assert book.remaining_s(A, now) == 0.0
 
@@ -42,23 +42,23 @@
     for times in range(1, 12):
         fresh = RefusalTracker()
         waits.append(fresh.remaining_s(A, refuse(fresh, times)))
-    assert waits[:3] == pytest.approx([refusals.FIRST_S * 2**n for n in range(3)])
-    assert waits[-1] == pytest.approx(refusals.LONGEST_S)
+    assert waits[:3] == pytest.approx([refusals.FIRST_WAIT_S * 2**n for n in range(3)])
+    assert waits[-1] == pytest.approx(refusals.MAX_WAIT_S)
 
 
 def test_concurrent_refusals_count_as_one(book):
     for number in range(10):
         book.note_refused(A, 0.0, 0.01 + number * 0.001)
-    assert book.remaining_s(A, 0.01) == refusals.FIRST_S
+    assert book.remaining_s(A, 0.01) == refusals.FIRST_WAIT_S
 
 
 def test_probe_is_sent_alone_after_consecutive_refusals(book):
     now = refuse(book, 3)
     now += book.remaining_s(A, now)
     book.note_sent(A, now)
-    assert book.remaining_s(A, now) == pytest.approx(refusals.TRIAL_S)
+    assert book.remaining_s(A, now) == pytest.approx(refusals.PROBE_TIMEOUT_S)
     # Without an answer, other requests follow.
-    assert book.remaining_s(A, now + refusals.TRIAL_S) == 0.0
+    assert book.remaining_s(A, now + refusals.PROBE_TIMEOUT_S) == 0.0
 
 
 def test_first_later_answer_ends_tracking(book):
@@ -77,18 +77,18 @@
     assert book.remaining_s(A, now) == 0.0
     assert book.is_refusing(A, now)
     # A further refusal starts again with the shortest wait.
-    assert book.note_refused(A, now, now) == refusals.FIRST_S
+    assert book.note_refused(A, now, now) == refusals.FIRST_WAIT_S
 
 
 def test_refusals_expire_if_no_request_is_sent(book):
     now = refuse(book, 5)
-    assert book.is_refusing(A, now + refusals.KEPT_S - 0.1)
-    assert not book.is_refusing(A, now + refusals.KEPT_S)
+    assert book.is_refusing(A, now + refusals.EXPIRY_S - 0.1)
+    assert not book.is_refusing(A, now + refusals.EXPIRY_S)
     assert book.is_empty
 
 
 def test_number_of_replicas_is_bounded_and_the_oldest_is_dropped(book):
-    for number in range(refusals.MAX_REMEMBERED + 1):
+    for number in range(refusals.MAX_TRACKED_REPLICAS + 1):
         book.note_refused(f"{number}:1", 0.0, number * 0.001)
     assert not book.remaining_s("0:1", 0.0)
-    assert book.is_refusing(f"{refusals.MAX_REMEMBERED}:1", 2.0)
+    assert book.is_refusing(f"{refusals.MAX_TRACKED_REPLICAS}:1", 2.0)
--- a/reachlink/placement/_baselines.py
+++ b/reachlink/placement/_baselines.py
@@ -18,7 +18,7 @@
     Verdict,
 )
 
-_NONE = Decision(Verdict.NONE_ALIVE, reason="no live replica")
+_NO_REPLICA = Decision(Verdict.NONE_ALIVE, reason="no live replica")
 
 
 @POLICIES.register("round-robin")
@@ -33,7 +33,7 @@
     ) -> Decision:
         """Return the next replica."""
         if not candidates:
-            return _NONE
+            return _NO_REPLICA
         ordered = sorted(candidates, key=lambda c: c.name)
         self._next += 1
         return Decision(
@@ -50,7 +50,7 @@
     ) -> Decision:
         """Return the replica with the fewest requests in flight; ties are broken at random."""
         if not candidates:
-            return _NONE
+            return _NO_REPLICA
         best = min(candidates, key=lambda c: (c.own_in_flight, random.random()))
         return Decision(Verdict.PLACE, best.name, "fewest requests in flight from this instance")
 
@@ -64,7 +64,7 @@
     ) -> Decision:
         """Return the one of two replicas that reports fewer running and waiting requests."""
         if not candidates:
-            return _NONE
+            return _NO_REPLICA
         pair = random.sample(list(candidates), min(2, len(candidates)))
         best = min(pair, key=lambda c: c.reported_running + c.reported_waiting)
         return Decision(Verdict.PLACE, best.name, "less loaded of two random replicas")
--- a/reachlink/placement/_forecast.py
+++ b/reachlink/placement/_forecast.py
@@ -70,14 +70,14 @@
         if not allowed:
             return Decision(Verdict.NONE_ALIVE, reason="no live replica")
         scores = [self._score(request, c) for c in allowed]
-        shown = tuple((s.candidate.name, s.peak_share, s.cost_ms) for s in scores)
-        open_scores = [s for s in scores if self._has_room(s)]
-        if not open_scores:
-            return Decision(Verdict.WAIT, reason="no replica has room", scores=shown)
-        best = min(s.cost_ms for s in open_scores)
-        near = [s for s in open_scores if s.cost_ms <= best + self._parameters.near_ms]
+        summary = tuple((s.candidate.name, s.peak_share, s.cost_ms) for s in scores)
+        with_room = [s for s in scores if self._has_room(s)]
+        if not with_room:
+            return Decision(Verdict.WAIT, reason="no replica has room", scores=summary)
+        best = min(s.cost_ms for s in with_room)
+        near = [s for s in with_room if s.cost_ms <= best + self._parameters.near_ms]
         chosen = random.choice(near)
-        return Decision(Verdict.PLACE, chosen.candidate.name, "lowest cost with room", shown)
+        return Decision(Verdict.PLACE, chosen.candidate.name, "lowest cost with room", summary)
 
     def _score(self, request: PlacementRequest, candidate: Candidate) -> _Score:
         return _Score(
@@ -88,9 +88,9 @@
         if not candidate.capacity_tokens:
             return 0.0
         peak = candidate.forecast.peak_with(request.profile, self._parameters.deviations)
-        return (peak + self._unexplained(candidate)) / candidate.capacity_tokens
+        return (peak + self._unexplained_tokens(candidate)) / candidate.capacity_tokens
 
-    def _unexplained(self, candidate: Candidate) -> float:
+    def _unexplained_tokens(self, candidate: Candidate) -> float:
         """Return reported memory that no known generation explains, discounted by report age."""
         trust = max(0.0, 1.0 - candidate.report_age_s / self._parameters.report_trust_s)
         return trust * max(0.0, candidate.reported_used_tokens - candidate.forecast.mean[0])
--- a/reachlink/placement/_health.py
+++ b/reachlink/placement/_health.py
@@ -9,11 +9,11 @@
 # Weight of a failure that the replica itself reported in an answer. The request may be the cause,
 # as for a few requests in a hundred, so two such answers in a row from one replica occur by
 # chance. Three, or two while the replica recovers, are more likely the replica's fault.
-ANSWERED_FAILURE = 0.67
+ANSWERED_FAILURE_WEIGHT = 0.67
 FIRST_EJECTION_S = 1.0
 LONGEST_EJECTION_S = 30.0
 RECOVERY_S = 8.0
-LEAST_ALLOWANCE = 0.1
+MIN_ALLOWANCE = 0.1
 MAX_EJECTED_SHARE = 0.5
 
 
@@ -37,17 +37,17 @@
         Weighted failures since the last success.
     ejections : int
         Ejections since the replica was last in state `HealthState.GOOD`.
-    until : float
+    ejected_until : float
         End of the ejection.
-    since : float
+    recovering_since : float
         Start of the recovery.
     """
 
     state: HealthState = HealthState.GOOD
     failures: float = 0.0
     ejections: int = 0
-    until: float = 0.0
-    since: float = 0.0
+    ejected_until: float = 0.0
+    recovering_since: float = 0.0
 
     def on_failure(self, now: float, random: Random, answered: bool = False) -> None:
         """Record a failed dispatch, or a stream that stalled or broke.
@@ -61,7 +61,7 @@
         answered : bool
             Whether the replica itself answered that the request failed.
         """
-        self.failures += ANSWERED_FAILURE if answered else 1
+        self.failures += ANSWERED_FAILURE_WEIGHT if answered else 1
         recovering = self.state is HealthState.RECOVERING
         if self.failures >= (1 if recovering else FAILURES_TO_EJECT):
             self._eject(now, random)
@@ -69,20 +69,20 @@
     def on_success(self, now: float) -> None:
         """Record that the replica served a request."""
         self.failures = 0.0
-        if self.state is HealthState.RECOVERING and now - self.since >= RECOVERY_S:
+        if self.state is HealthState.RECOVERING and now - self.recovering_since >= RECOVERY_S:
             self.state = HealthState.GOOD
             self.ejections = 0
 
     def allowance(self, now: float) -> float:
         """Return the share of its usual load that the replica may get."""
-        if self.state is HealthState.EJECTED and now >= self.until:
+        if self.state is HealthState.EJECTED and now >= self.ejected_until:
             self.state = HealthState.RECOVERING
-            self.since = now
+            self.recovering_since = now
         if self.state is HealthState.GOOD:
             return 1.0
         if self.state is HealthState.EJECTED:
             return 0.0
-        grown = LEAST_ALLOWANCE + (1.0 - LEAST_ALLOWANCE) * (now - self.since) / RECOVERY_S
+        grown = MIN_ALLOWANCE + (1.0 - MIN_ALLOWANCE) * (now - self.recovering_since) / RECOVERY_S
         return min(1.0, grown)
 
     def _eject(self, now: float, random: Random) -> None:
@@ -93,11 +93,11 @@
         self.ejections += 1
         self.failures = 0.0
         # Jitter keeps replicas that failed at the same time from returning at the same time.
-        self.until = now + random.uniform(longest / 2, longest)
+        self.ejected_until = now + random.uniform(longest / 2, longest)
 
 
 def allowances(
-    healths: Mapping[str, Health], now: float, told: Mapping[str, float] | None = None
+    healths: Mapping[str, Health], now: float, peer_allowances: Mapping[str, float] | None = None
 ) -> dict[str, float]:
     """Return the allowance of each replica, without ejecting most replicas at once.
 
@@ -111,15 +111,15 @@
         Health of each replica of a service, from this instance's requests.
     now : float
         Monotonic time in seconds.
-    told : mapping of str to float, optional
+    peer_allowances : mapping of str to float, optional
         Allowances reported by other instances; the lower allowance of a replica applies.
         `MAX_EJECTED_SHARE` bounds both sources together: if each source ejected one of three
         replicas, one would be left, and with one more ejection none, which caused 324
         refusals within 7.5 s of a network partition.
     """
-    told = told or {}
-    found = {n: min(h.allowance(now), told.get(n, 1.0)) for n, h in healths.items()}
-    out = sum(1 for value in found.values() if value == 0.0)
-    if out <= MAX_EJECTED_SHARE * len(found):
-        return found
-    return {name: max(value, LEAST_ALLOWANCE) for name, value in found.items()}
+    peer_allowances = peer_allowances or {}
+    allowed = {n: min(h.allowance(now), peer_allowances.get(n, 1.0)) for n, h in healths.items()}
+    ejected = sum(1 for value in allowed.values() if value == 0.0)
+    if ejected <= MAX_EJECTED_SHARE * len(allowed):
+        return allowed
+    return {name: max(value, MIN_ALLOWANCE) for name, value in allowed.items()}
--- a/reachlink/placement/_profiles.py
+++ b/reachlink/placement/_profiles.py
@@ -74,8 +74,8 @@
             held = prompt_tokens + tokens + horizon
             mean.append(chance * held)
             variance.append(chance * (1.0 - chance) * held * held)
-        missing = [0.0] * (len(HORIZONS) - len(mean))
-        return cls(mean + missing, variance + missing, 1.0)
+        padding = [0.0] * (len(HORIZONS) - len(mean))
+        return cls(mean + padding, variance + padding, 1.0)
 
     def add(self, other: "MemoryProfile") -> None:
         """Add another profile to this one."""
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -135,7 +135,7 @@
     assert health.allowance(0.0) == 1.0
     health.on_failure(0.0, random, answered=True)
     assert health.allowance(0.0) == 0.0
-    recovering_at = health.until
+    recovering_at = health.ejected_until
     assert 0.0 < health.allowance(recovering_at) < 1.0
     health.on_failure(recovering_at, random, answered=True)
     assert health.allowance(recovering_at) > 0.0
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -120,8 +120,8 @@
         if budget is None:
             budget = self._budgets[service.name] = RetryBudget()
         # Each instance may save up its share of the burst of all instances.
-        budget.most = max(
+        budget.max_available = max(
             1.0, self._parts.retry_limits.burst / max(1, self._parts.instance_count())
         )
-        budget.saved = min(budget.saved, budget.most)
+        budget.available = min(budget.available, budget.max_available)
         return budget
--- a/reachlink/requests/tests/test_refusing.py
+++ b/reachlink/requests/tests/test_refusing.py
@@ -85,7 +85,7 @@
             with pytest.raises(RequestFailedError) as caught:
                 await setup.run(RequestKind.ONCE, objective_s=0.04)
             assert (caught.value.status, caught.value.reason) == (503, "not_run")
-            assert 0.0 < (caught.value.retry_after_s or 0.0) <= refusals.LONGEST_S
+            assert 0.0 < (caught.value.retry_after_s or 0.0) <= refusals.MAX_WAIT_S
         return loop_time()
 
     # Each call takes at most half of the objective.
--- a/reachlink/routing/_formats.py
+++ b/reachlink/routing/_formats.py
@@ -19,7 +19,7 @@
 from reachlink.routing.exceptions import InvalidTableError
 
 # Routes decoded per step, which takes less than a millisecond.
-ROUTES_READ_A_STEP = 100
+ROUTES_DECODED_PER_STEP = 100
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,20 +50,20 @@
             If the document is invalid; names the field.
         """
 
-    def route(self, place: str, written: bytes) -> Route:
+    def route(self, path: str, encoded: bytes) -> Route:
         """Decode one route.
 
         Parameters
         ----------
-        place : str
+        path : str
             Path of the route in the document, for error messages.
-        written : bytes
+        encoded : bytes
             Encoded text of the route.
 
         Raises
         ------
         InvalidTableError
-            If the route is invalid; names the field by its path, starting with `place`.
+            If the route is invalid; names the field by its path, starting with `path`.
         """
 
 
@@ -129,10 +129,10 @@
         outline = table_format.outline(published.document.encode())
         yield
         routes: dict[bytes, Route] = {}
-        for position, written in enumerate(outline.routes):
-            route = known.get(written)
-            routes[written] = route or table_format.route(f"routes[{position}]", written)
-            if position % ROUTES_READ_A_STEP == ROUTES_READ_A_STEP - 1:
+        for position, encoded in enumerate(outline.routes):
+            route = known.get(encoded)
+            routes[encoded] = route or table_format.route(f"routes[{position}]", encoded)
+            if position % ROUTES_DECODED_PER_STEP == ROUTES_DECODED_PER_STEP - 1:
                 yield
         self._format, self._routes = published.format, routes
         yield
@@ -166,42 +166,42 @@
         )
         return TableOutline(table, [bytes(raw) for raw in found.routes])
 
-    def route(self, place: str, written: bytes) -> Route:
+    def route(self, path: str, encoded: bytes) -> Route:
         """See `TableFormat`."""
-        route: Route = decode_or_raise(self._route, written, place)
+        route: Route = decode_or_raise(self._route, encoded, path)
         return route
 
 
-def decode_or_raise(decode: Any, written: bytes, place: str = "") -> Any:
+def decode_or_raise(decode: Any, encoded: bytes, path: str = "") -> Any:
     """Return the result of a decoder for a text.
 
     Parameters
     ----------
     decode : callable
         Decoder of a text.
-    written : bytes
+    encoded : bytes
         Text to decode.
-    place : str
+    path : str
         Path of the text in its document; empty for the whole document.
 
     Raises
     ------
     InvalidTableError
-        If the text cannot be decoded; names the field by its path, starting with `place`.
+        If the text cannot be decoded; names the field by its path, starting with `path`.
     """
     try:
-        return decode(written)
+        return decode(encoded)
     except msgspec.DecodeError as error:
-        raise InvalidTableError("", _placed(str(error), place)) from error
+        raise InvalidTableError("", _with_full_path(str(error), path)) from error
 
 
-def _placed(message: str, place: str) -> str:
+def _with_full_path(message: str, path: str) -> str:
     """Return a decoder's message with the path of the field from the top of the document."""
-    if not place:
+    if not path:
         return message
     if "`$" in message:
-        return message.replace("`$", f"`$.{place}")
-    return f"{message} - at `$.{place}`"
+        return message.replace("`$", f"`$.{path}")
+    return f"{message} - at `$.{path}`"
 
 
 TABLE_FORMATS.register(NATIVE_FORMAT)(_NativeFormat())
--- a/reachlink/routing/_index.py
+++ b/reachlink/routing/_index.py
@@ -6,10 +6,10 @@
 from reachlink.routing._table import Route, RoutingTable, Service, Workspace
 
 # Routes indexed per step, which takes less than a millisecond.
-ROUTES_INDEXED_A_STEP = 500
+ROUTES_INDEXED_PER_STEP = 500
 
 
-class _Host:
+class _HostRoutes:
     """Routes of one host by path prefix.
 
     A look-up takes one step per distinct prefix length instead of one per route. With 4,240 routes
@@ -55,22 +55,22 @@
     """
 
     def __init__(self, table: RoutingTable) -> None:
-        for _ in self._prepare(table):
+        for _ in self._build(table):
             pass
 
     @classmethod
     def steps(cls, table: RoutingTable) -> Generator[None, None, "RoutingIndex"]:
         """Build the index of a large table; the caller may do other work at each yield."""
         index = cls.__new__(cls)
-        yield from index._prepare(table)
+        yield from index._build(table)
         return index
 
-    def _prepare(self, table: RoutingTable) -> Generator[None, None, None]:
+    def _build(self, table: RoutingTable) -> Generator[None, None, None]:
         self._table = table
-        self._hosts: dict[str, _Host] = {}
+        self._hosts: dict[str, _HostRoutes] = {}
         for position, route in enumerate(table.routes):
-            self._hosts.setdefault(route.host.lower(), _Host()).add(route)
-            if position % ROUTES_INDEXED_A_STEP == ROUTES_INDEXED_A_STEP - 1:
+            self._hosts.setdefault(route.host.lower(), _HostRoutes()).add(route)
+            if position % ROUTES_INDEXED_PER_STEP == ROUTES_INDEXED_PER_STEP - 1:
                 yield
         self._services = {service.name: service for service in table.services}
         self._keys = {key: w for w in table.workspaces for key in w.keys}
@@ -120,7 +120,7 @@
         route : Route
             Route of the request.
         """
-        return self._ranks[_priorities(workspace, route)]
+        return self._ranks[_urgency_key(workspace, route)]
 
     def choose_service(self, route: Route, random: Random) -> Service:
         """Return one of a route's services, chosen at random by weight."""
@@ -131,13 +131,13 @@
         return self._services[backend.service]
 
 
-def _priorities(workspace: Workspace | None, route: Route) -> tuple[int, int]:
+def _urgency_key(workspace: Workspace | None, route: Route) -> tuple[int, int]:
     """Return the sort key of urgency: the effective priority, then the route's priority.
 
     The effective priority is that of the workspace if it has one, and that of the route otherwise.
     """
-    first = workspace.priority if workspace is not None else None
-    return (route.priority if first is None else first), route.priority
+    effective = workspace.priority if workspace is not None else None
+    return (route.priority if effective is None else effective), route.priority
 
 
 def _ranks(table: RoutingTable) -> dict[tuple[int, int], int]:
@@ -145,5 +145,5 @@
     routes = {route.priority: route for route in table.routes}
     workspaces: dict[int | None, Workspace | None] = {w.priority: w for w in table.workspaces}
     workspaces[None] = None
-    pairs = {_priorities(w, r) for w in workspaces.values() for r in routes.values()}
+    pairs = {_urgency_key(w, r) for w in workspaces.values() for r in routes.values()}
     return {pair: rank for rank, pair in enumerate(sorted(pairs))}
--- a/reachlink/routing/_patch.py
+++ b/reachlink/routing/_patch.py
@@ -16,16 +16,16 @@
 from reachlink.routing._formats import PublishedTable
 from reachlink.routing.exceptions import PatchMismatchError
 
-_CLOSE = "}"
+_PART_END = "}"
 _PART = re.compile(r"[^}]*\}|[^}]+")
 # Size of a digest in bytes; large enough to rule out that two documents of one number have the
 # same digest by chance.
 DIGEST_BYTES = 16
 # Maximum size in bytes of a run of kept parts in a patch: two integers of up to four bytes, each
 # with a type byte, in MessagePack.
-KEPT_BYTES = 10
+KEPT_RUN_BYTES = 10
 
-Kept = tuple[int, int]
+KeptRun = tuple[int, int]
 """Run of parts kept from the older document: index of the first, and number of parts."""
 
 
@@ -50,13 +50,13 @@
     number: int
     format: str
     digest: bytes
-    parts: list[Kept | str]
+    parts: list[KeptRun | str]
 
     @property
     def size(self) -> int:
         """Approximate size in bytes."""
         texts = sum(len(part) for part in self.parts if isinstance(part, str))
-        return DIGEST_BYTES + KEPT_BYTES * len(self.parts) + texts
+        return DIGEST_BYTES + KEPT_RUN_BYTES * len(self.parts) + texts
 
 
 def apply_patches(table: PublishedTable | None, patches: Sequence[TablePatch]) -> PublishedTable:
@@ -88,7 +88,7 @@
             raise PatchMismatchError(
                 f"patch applies to table {patch.base}, but the current table is {number}"
             )
-        number, parts = patch.number, _patched(parts, patch)
+        number, parts = patch.number, _apply_patch(parts, patch)
     last = patches[-1]
     document = "".join(parts)
     if _digest(document) != last.digest:
@@ -98,14 +98,14 @@
 
 def patch_between(old: PublishedTable, new: PublishedTable) -> TablePatch:
     """Return the patch from one table to another."""
-    parts = _Parts(_split(old.document))
+    parts = _PatchBuilder(_split(old.document))
     for text in _split(new.document):
         parts.add(text)
     return TablePatch(old.number, new.number, new.format, _digest(new.document), parts.finish())
 
 
 @dataclass(slots=True)
-class _Run:
+class _OpenRun:
     """Consecutive parts of the older document."""
 
     first: int
@@ -116,14 +116,14 @@
         return self.first + self.count
 
 
-class _Parts:
+class _PatchBuilder:
     """Collects the parts of a patch from the parts of the newer document, in order."""
 
     def __init__(self, old: list[str]) -> None:
         self._old = old
-        self._place = {text: position for position, text in enumerate(old)}
-        self._parts: list[Kept | str] = []
-        self._run: _Run | None = None
+        self._positions = {text: position for position, text in enumerate(old)}
+        self._parts: list[KeptRun | str] = []
+        self._run: _OpenRun | None = None
         self._new: list[str] = []
 
     def add(self, text: str) -> None:
@@ -132,26 +132,26 @@
         if run is not None and run.next < len(self._old) and self._old[run.next] == text:
             run.count += 1
             return
-        self._close_run()
-        place = self._place.get(text)
-        if place is None:
+        self._flush_run()
+        position = self._positions.get(text)
+        if position is None:
             self._new.append(text)
             return
-        self._close_text()
-        self._run = _Run(place)
+        self._flush_text()
+        self._run = _OpenRun(position)
 
-    def finish(self) -> list[Kept | str]:
+    def finish(self) -> list[KeptRun | str]:
         """Return the parts of the patch."""
-        self._close_run()
-        self._close_text()
+        self._flush_run()
+        self._flush_text()
         return self._parts
 
-    def _close_run(self) -> None:
+    def _flush_run(self) -> None:
         if self._run is not None:
             self._parts.append((self._run.first, self._run.count))
         self._run = None
 
-    def _close_text(self) -> None:
+    def _flush_text(self) -> None:
         if self._new:
             self._parts.append("".join(self._new))
         self._new = []
@@ -161,21 +161,21 @@
     return _PART.findall(document)
 
 
-def _patched(old: list[str], patch: TablePatch) -> list[str]:
+def _apply_patch(old: list[str], patch: TablePatch) -> list[str]:
     """Return the parts of the patched document, split as the whole document would be."""
     parts: list[str] = []
     for part in patch.parts:
         if isinstance(part, str):
-            following = _split(part)
+            added = _split(part)
         else:
             first, count = part
-            following = old[first : first + count]
-        if parts and following and not parts[-1].endswith(_CLOSE):
+            added = old[first : first + count]
+        if parts and added and not parts[-1].endswith(_PART_END):
             # The last part of the older document may have no closing brace; if text follows it
             # now, both form one part.
-            parts[-1] += following[0]
-            following = following[1:]
-        parts += following
+            parts[-1] += added[0]
+            added = added[1:]
+        parts += added
     return parts
 
 
--- a/reachlink/routing/_table.py
+++ b/reachlink/routing/_table.py
@@ -214,40 +214,40 @@
 
 
 def _check_routes(table: RoutingTable, services: set[str]) -> None:
-    places: dict[tuple[str, str], str] = {}
+    names_by_match: dict[tuple[str, str], str] = {}
     for position, route in enumerate(table.routes):
-        where = f"routes[{position}]"
+        path = f"routes[{position}]"
         if not (route.path_prefix.startswith("/") and route.path_prefix.endswith("/")):
-            raise InvalidTableError(f"{where}.path_prefix", "must begin and end with a slash")
-        place = (route.host.lower(), route.path_prefix)
-        if place in places:
+            raise InvalidTableError(f"{path}.path_prefix", "must begin and end with a slash")
+        match = (route.host.lower(), route.path_prefix)
+        if match in names_by_match:
             raise InvalidTableError(
-                f"{where}.path_prefix", f"route {places[place]!r} has this host and prefix"
+                f"{path}.path_prefix", f"route {names_by_match[match]!r} has this host and prefix"
             )
-        places[place] = route.name
-        _check_route(where, route, services)
+        names_by_match[match] = route.name
+        _check_route(path, route, services)
 
 
-def _check_route(where: str, route: Route, services: set[str]) -> None:
+def _check_route(path: str, route: Route, services: set[str]) -> None:
     if route.timeout_s <= 0:
-        raise InvalidTableError(f"{where}.timeout", "must be above 0")
+        raise InvalidTableError(f"{path}.timeout", "must be above 0")
     if not route.backends:
-        raise InvalidTableError(f"{where}.backends", "names no service")
+        raise InvalidTableError(f"{path}.backends", "names no service")
     for backend in route.backends:
         if backend.service not in services:
-            raise InvalidTableError(f"{where}.service", f"there is no service {backend.service!r}")
+            raise InvalidTableError(f"{path}.service", f"there is no service {backend.service!r}")
         if backend.weight < 0:
-            raise InvalidTableError(f"{where}.weight", "must not be below 0")
+            raise InvalidTableError(f"{path}.weight", "must not be below 0")
     if sum(backend.weight for backend in route.backends) <= 0:
-        raise InvalidTableError(f"{where}.weight", "the weights sum to 0")
+        raise InvalidTableError(f"{path}.weight", "the weights sum to 0")
 
 
 def _check_workspaces(table: RoutingTable) -> None:
-    holders: dict[str, str] = {}
+    owners: dict[str, str] = {}
     for position, workspace in enumerate(table.workspaces):
         for key in workspace.keys:
-            holder = holders.setdefault(key, workspace.name)
-            if holder != workspace.name:
+            owner = owners.setdefault(key, workspace.name)
+            if owner != workspace.name:
                 raise InvalidTableError(
-                    f"workspaces[{position}].keys", f"shares a key with {holder!r}"
+                    f"workspaces[{position}].keys", f"shares a key with {owner!r}"
                 )
