--- a/reachlink/lengths/_estimator.py
+++ b/reachlink/lengths/_estimator.py
@@ -23,10 +23,13 @@
 
 # Prior probability that an answer that reaches a bucket ends in it.
 PRIOR_HAZARD = 0.25
+# Weights of the prior and of the parent's hazards, in observations.
 PRIOR_STRENGTH = 6.0
 PARENT_STRENGTH = 10.0
+# Factor by which counts decay with each finished answer.
 DECAY = 0.997
 MAX_KEYS = 2048
+# Finished answers after which a cached survival curve is computed again.
 REFRESH_OBSERVATIONS = 8
 
 
--- a/reachlink/limits/_buffer_budget.py
+++ b/reachlink/limits/_buffer_budget.py
@@ -1,8 +1,8 @@
 """Accounts for the bytes that an instance buffers for callers, against one budget; pure.
 
 The budget protects against many callers that send long bodies at once or slowly, callers that
-do not read their answers, and replicas that do not read their requests. The memory of each
-caller is bounded, and short bodies are still admitted while long ones are refused.
+do not read their answers, and replicas that do not read their requests. The buffers of each
+caller are bounded, and short bodies are still admitted while long ones are refused.
 """
 
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 # stops above the low watermark, so that callers that do not read cause no refusals.
 HIGH_WATERMARK_SHARE = 0.75
 LOW_WATERMARK_SHARE = 0.6
-# Share of the budget that one caller may use.
+# Share of the budget that may be buffered for one caller.
 CALLER_SHARE = 1 / 3
 # Share of the budget that one incoming answer may occupy ahead of its caller.
 ANSWER_BUFFER_SHARE = 1 / 16
@@ -26,7 +26,7 @@
 
 
 class BufferKind(Enum):
-    """What memory is used for."""
+    """What buffered bytes belong to."""
 
     INCOMING = "incoming"  # bodies being received
     REQUEST = "request"  # bodies of requests that are queued or running
@@ -34,12 +34,12 @@
 
 
 class BufferBudget:
-    """Memory budget of one instance for bodies and answers.
+    """Budget of one instance for buffered bodies and answers.
 
     Parameters
     ----------
     limit : int
-        Bytes that may be held at the most; 0 for no limit, in which case nothing is counted.
+        Bytes that may be buffered at the most; 0 for no limit, in which case nothing is counted.
     """
 
     def __init__(self, limit: int = 0) -> None:
@@ -60,12 +60,12 @@
 
     @property
     def limit(self) -> int:
-        """Bytes that may be held at the most; 0 for no limit."""
+        """Bytes that may be buffered at the most; 0 for no limit."""
         return self._limit
 
     @property
     def total(self) -> int:
-        """Bytes held now."""
+        """Bytes buffered now."""
         return self._total
 
     @property
@@ -80,7 +80,7 @@
 
     @property
     def caller_bytes(self) -> int:
-        """Bytes that one caller may use at the most."""
+        """Bytes that may be buffered for one caller at the most."""
         return int(self._limit * CALLER_SHARE)
 
     @property
@@ -89,7 +89,7 @@
         return int(self._limit * ANSWER_BUFFER_SHARE)
 
     def bytes_of(self, kind: BufferKind) -> int:
-        """Return the bytes of one kind held now."""
+        """Return the bytes of one kind buffered now."""
         return self._held[kind]
 
     def admits(self, size: int) -> bool:
@@ -109,11 +109,11 @@
         return self._total + size <= self._high_watermark
 
     def has_room(self, size: int, long: bool) -> bool:
-        """Return whether `size` more bytes may be held, for a long body or otherwise."""
+        """Return whether `size` more bytes may be buffered, for a long body or otherwise."""
         return self._total + size <= (self._high_watermark if long else self._limit)
 
     def adjust(self, kind: BufferKind, size: int) -> None:
-        """Add `size` bytes to the bytes held; a negative number releases bytes."""
+        """Add `size` bytes to the bytes buffered; a negative number releases bytes."""
         self._held[kind] += size
         self._total += size
         under_pressure = self._total >= self._high_watermark or (
@@ -130,7 +130,7 @@
 
 
 class CallerBuffer:
-    """Memory used for one caller.
+    """Bytes buffered for one caller.
 
     Parameters
     ----------
@@ -151,11 +151,11 @@
 
     @property
     def total(self) -> int:
-        """Bytes held for this caller now."""
+        """Bytes buffered for this caller now."""
         return sum(self._held.values())
 
     def bytes_of(self, kind: BufferKind) -> int:
-        """Return the bytes of one kind held for this caller now."""
+        """Return the bytes of one kind buffered for this caller now."""
         return self._held[kind]
 
     def admits(self, size: int) -> bool:
@@ -172,7 +172,7 @@
         Parameters
         ----------
         kind : BufferKind
-            What the bytes are used for.
+            What the bytes belong to.
         size : int
             Number of bytes.
         """
@@ -187,15 +187,15 @@
         return True
 
     def set_size(self, kind: BufferKind, size: int) -> bool:
-        """Set the number of bytes held of one kind; return whether more may be held.
+        """Set the number of bytes buffered of one kind; return whether more may be buffered.
 
-        For answers buffered ahead of their callers, whose bytes are in memory whether or not
-        there is room for them.
+        For answers buffered ahead of their callers, whose bytes are already in memory whether
+        or not there is room for them.
 
         Parameters
         ----------
         kind : BufferKind
-            What the bytes are used for.
+            What the bytes belong to.
         size : int
             Total number of bytes of this kind.
         """
@@ -212,7 +212,7 @@
         self._budget.reclassify(kind, target, size)
 
     def release(self) -> None:
-        """Release everything held for this caller."""
+        """Release all bytes buffered for this caller."""
         for kind, size in self._held.items():
             self._change(kind, -size)
 
--- a/reachlink/limits/_drain_rate.py
+++ b/reachlink/limits/_drain_rate.py
@@ -6,6 +6,7 @@
 
 from dataclasses import dataclass
 
+# Busy time in seconds after which an observation counts half.
 HALF_LIFE_S = 4.0
 
 
--- a/reachlink/limits/_fair_queue.py
+++ b/reachlink/limits/_fair_queue.py
@@ -14,6 +14,7 @@
 
 T = TypeVar("T")
 
+# Waiting time in seconds that raises the priority of a request by one.
 AGING_S_PER_LEVEL = 2.0
 
 
--- a/reachlink/limits/_quotas.py
+++ b/reachlink/limits/_quotas.py
@@ -11,8 +11,10 @@
 from dataclasses import dataclass
 from enum import Enum
 
+# Part of each limit that is divided equally among the instances, regardless of demand.
 FLOOR_SHARE = 0.1
 DEMAND_HALF_LIFE_S = 3.0
+# Capacity of the token buckets, in seconds of their rate.
 BURST_S = 1.0
 
 
--- a/reachlink/limits/_retries.py
+++ b/reachlink/limits/_retries.py
@@ -10,6 +10,7 @@
 
 FIRST_BACKOFF_S = 0.05
 LONGEST_BACKOFF_S = 2.0
+# Maximum and initial number of retries in a budget.
 MAX_AVAILABLE = 20.0
 INITIALLY_AVAILABLE = 3.0
 
@@ -23,7 +24,7 @@
     available : float
         Retries that are available now.
     max_available : float
-        Retries that may accumulate at the max_available.
+        Maximum number of retries that accumulate.
     """
 
     available: float = INITIALLY_AVAILABLE
--- a/reachlink/placement/_cache_index.py
+++ b/reachlink/placement/_cache_index.py
@@ -4,6 +4,7 @@
 from collections.abc import Iterable, Sequence
 
 MAX_BLOCKS = 8192
+# Prompt tokens per block of the prefix cache.
 BLOCK_TOKENS = 16
 
 
--- a/reachlink/placement/_health.py
+++ b/reachlink/placement/_health.py
@@ -12,8 +12,11 @@
 ANSWERED_FAILURE_WEIGHT = 0.67
 FIRST_EJECTION_S = 1.0
 LONGEST_EJECTION_S = 30.0
+# Time in seconds over which the load of a readmitted replica grows to its usual level, and the
+# share of that load with which it starts.
 RECOVERY_S = 8.0
 MIN_ALLOWANCE = 0.1
+# Largest share of the replicas of a service that may be ejected at once.
 MAX_EJECTED_SHARE = 0.5
 
 
@@ -112,9 +115,9 @@
     now : float
         Monotonic time in seconds.
     peer_allowances : mapping of str to float, optional
-        Allowances reported by other instances; the lower allowance of a replica applies.
-        `MAX_EJECTED_SHARE` bounds both sources together: if each source ejected one of three
-        replicas, one would be left, and with one more ejection none, which caused 324
+        Allowances according to other instances; the lower allowance of a replica applies.
+        `MAX_EJECTED_SHARE` bounds all sources together. Otherwise two sources that each eject
+        one of three replicas would leave one, and three such sources none, which caused 324
         refusals within 7.5 s of a network partition.
     """
     peer_allowances = peer_allowances or {}
--- a/reachlink/placement/_profiles.py
+++ b/reachlink/placement/_profiles.py
@@ -19,7 +19,9 @@
 
 from reachlink.lengths import SurvivalCurve
 
+# Times of the forecast, in decoding steps from now.
 HORIZONS = (0, 24, 64, 160, 384, 900, 2048, 5120)
+# Output length in tokens if the caller sets no limit.
 UNLIMITED = 1 << 30
 
 
