--- a/reachlink/requests/_answer_body.py
+++ b/reachlink/requests/_answer_body.py
@@ -14,7 +14,7 @@
 
 async def read_whole(
     answer: RelayAnswer,
-    held: CallerBuffer | None = None,
+    buffer: CallerBuffer | None = None,
     on_wait: Callable[[], None] = lambda: None,
     previous_bytes: int = 0,
 ) -> bytes:
@@ -24,12 +24,12 @@
     ----------
     answer : RelayAnswer
         Answer whose body has not been read yet.
-    held : CallerBuffer, optional
+    buffer : CallerBuffer, optional
         Buffer account of the caller. While there is no space, the body is not read, so that
         the replica has to wait.
     on_wait : callable
         Called each time that reading waits for buffer space.
-    kept : int
+    previous_bytes : int
         Size of the answer of an earlier attempt that is still buffered, in bytes.
 
     Raises
@@ -37,17 +37,17 @@
     UpstreamBrokenError
         If the body exceeds the limit for one answer, or is cut off.
     """
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size = 0
-    room = _BufferReservation(held, on_wait, previous_bytes)
-    await room.reach(min(answer.head.length, MAX_BODY_BYTES))
+    reservation = _BufferReservation(buffer, on_wait, previous_bytes)
+    await reservation.reserve(min(answer.head.length, MAX_BODY_BYTES))
     while data := await answer.read():
-        pieces.append(data)
+        chunks.append(data)
         size += len(data)
         if size > MAX_BODY_BYTES:
             raise UpstreamBrokenError("answer body exceeds the size limit of whole answers")
-        await room.reach(size)
-    return b"".join(pieces)
+        await reservation.reserve(size)
+    return b"".join(chunks)
 
 
 class _BufferReservation:
@@ -55,32 +55,32 @@
 
     Parameters
     ----------
-    held : CallerBuffer, optional
+    buffer : CallerBuffer, optional
         Buffer account of the caller; None if nothing is accounted for.
     on_wait : callable
         Called each time that the reservation has to wait.
-    kept : int
+    previous_bytes : int
         Size of the answer of an earlier attempt that is still buffered, in bytes.
     """
 
     def __init__(
-        self, held: CallerBuffer | None, on_wait: Callable[[], None], previous_bytes: int
+        self, buffer: CallerBuffer | None, on_wait: Callable[[], None], previous_bytes: int
     ) -> None:
-        self._held = held
+        self._buffer = buffer
         self._on_wait = on_wait
-        self._size = 0
-        if held is not None:
+        self._reserved_bytes = 0
+        if buffer is not None:
             # Releases the space of the answer of an earlier attempt, unless it is still kept.
-            held.set_size(BufferKind.ANSWER, previous_bytes)
+            buffer.set_size(BufferKind.ANSWER, previous_bytes)
 
-    async def reach(self, size: int) -> None:
+    async def reserve(self, size: int) -> None:
         """Wait until space for `size` bytes in total is reserved."""
-        more = size - self._size
-        if self._held is None or more <= 0:
+        missing_bytes = size - self._reserved_bytes
+        if self._buffer is None or missing_bytes <= 0:
             return
-        if not self._held.fits_caller_limit(more):
+        if not self._buffer.fits_caller_limit(missing_bytes):
             raise UpstreamBrokenError("answer body exceeds the buffer limit of one caller")
-        while not self._held.reserve(BufferKind.ANSWER, more):
+        while not self._buffer.reserve(BufferKind.ANSWER, missing_bytes):
             self._on_wait()
             await asyncio.sleep(BUFFER_POLL_INTERVAL_S)
-        self._size = size
+        self._reserved_bytes = size
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -67,7 +67,7 @@
             replica=replica.name,
             reason=failure.value,
             sent=attempts.sent,
-            held_left_s=round(self._held_left_s(replica), 3),
+            held_left_s=round(self._remaining_hold_s(replica), 3),
         )
         if not attempts.may_try_another_replica():
             return False
@@ -102,17 +102,17 @@
 
     def _refusal(self, request: CallerRequest, refused: Refuse) -> RequestFailedError:
         """Return the answer to a request that the owner of the queue refuses."""
-        reason, come_back_in_s = refused.reason.value, refused.retry_after_s
+        reason, retry_after_s = refused.reason.value, refused.retry_after_s
         self._log.info(
             "refusal_told",
             request_id=request.request_id,
             reason=reason,
-            come_back_in_s=round(come_back_in_s, 3),
+            come_back_in_s=round(retry_after_s, 3),
             place_kept=refused.place_reserved,
         )
-        return RequestFailedError(503, reason, Outcome.NOT_RUN, come_back_in_s)
+        return RequestFailedError(503, reason, Outcome.NOT_RUN, retry_after_s)
 
-    def _held_left_s(self, replica: Replica) -> float:
+    def _remaining_hold_s(self, replica: Replica) -> float:
         return self._parts.pacing.remaining_s(replica.address, self._parts.clock())
 
     def _budget(self, service: Service) -> RetryBudget:
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -285,11 +285,11 @@
     def _record_interval(self, event_s: float) -> None:
         """Record the event interval if the primary had no unread prompts at its start and end."""
         home = self._places.home
-        read_before, self._had_unread_prompts = (
+        had_unread_before, self._had_unread_prompts = (
             self._had_unread_prompts,
             self._dispatch.pace.reads_beside(home),
         )
-        if not read_before and not self._had_unread_prompts:
+        if not had_unread_before and not self._had_unread_prompts:
             self._dispatch.pace.note_rhythm(self._request, home, event_s)
 
     def _log_stream_joined(self, pause_s: float) -> None:
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -105,7 +105,7 @@
     return await answering(200, stream(sent.continuation.after_event + 1, 6))(sent)
 
 
-def interrupted(wait_s: float) -> World:
+def world_with_broken_stream(wait_s: float) -> World:
     """Return a world whose stream breaks while the replica with its copy is in backoff."""
     setup = world_with_script("a a", "m", script=break_after_three_events)
     setup.engine = BACKUP_ENGINE
@@ -121,14 +121,14 @@
 
 
 def test_a_stream_resumes_at_its_copy_after_a_short_backoff():
-    setup = interrupted(SHORT_S)
+    setup = world_with_broken_stream(SHORT_S)
     began = setup.now()
     assert asyncio.run(setup.run(RequestKind.STREAM)).body == stream(1, 6)
     assert setup.now() - began >= SHORT_S
 
 
 def test_a_stream_is_cut_if_the_backoff_at_its_copy_exceeds_the_permit_wait():
-    setup = interrupted(dispatch.CONTINUATION_PERMIT_WAIT_S + LONG_S)
+    setup = world_with_broken_stream(dispatch.CONTINUATION_PERMIT_WAIT_S + LONG_S)
     with pytest.raises(StreamCutError):
         asyncio.run(setup.run(RequestKind.STREAM))
     assert len(setup.adapter.sent) == 1
--- a/reachlink/requests/tests/test_first_list.py
+++ b/reachlink/requests/tests/test_first_list.py
@@ -21,7 +21,7 @@
     monkeypatch.setattr("reachlink.requests.tests.world.steady_time", loop_time)
 
 
-def starting() -> World:
+def world_without_list() -> World:
     """Return an instance that has not received a list of replicas."""
     setup = world("a a")
     setup.directory = ReplicaDirectory()
@@ -30,7 +30,7 @@
     return setup
 
 
-async def answered(setup: World, kind: RequestKind, **changes: object) -> tuple[str, float]:
+async def run_request(setup: World, kind: RequestKind, **changes: object) -> tuple[str, float]:
     """Return the outcome of a request, and the time until then in seconds."""
     request = setup.request(kind)
     for name, value in changes.items():
@@ -43,7 +43,7 @@
     return "delivered", loop_time() - began
 
 
-async def list_after(setup: World, wait_s: float) -> None:
+async def list_replicas_after(setup: World, wait_s: float) -> None:
     await asyncio.sleep(wait_s)
     setup.list_replicas()
 
@@ -51,40 +51,42 @@
 @pytest.mark.parametrize("kind", [RequestKind.ONCE, RequestKind.REPEATABLE])
 @pytest.mark.parametrize("zones", [None, frozenset({"a"})])
 def test_a_request_before_the_first_list_is_served_when_the_list_arrives(kind, zones):
-    setup = starting()
+    setup = world_without_list()
 
-    async def play():
+    async def scenario():
         # Longer than the wait for room, which is 0.22 of an objective of 0.2 s.
-        _, ended = await asyncio.gather(list_after(setup, 0.2), answered(setup, kind, zones=zones))
-        return ended
+        _, result = await asyncio.gather(
+            list_replicas_after(setup, 0.2), run_request(setup, kind, zones=zones)
+        )
+        return result
 
-    ending, after_s = run_virtually(play())
-    assert ending == "delivered" and 0.2 <= after_s < 0.25
+    outcome, after_s = run_virtually(scenario())
+    assert outcome == "delivered" and 0.2 <= after_s < 0.25
 
 
 def test_replicas_named_by_another_instance_are_no_complete_list():
-    setup = starting()
+    setup = world_without_list()
 
-    async def play():
+    async def scenario():
         setup.directory.hear([ListedInstance("m1", "model", "a", "m1:1")], loop_time())
-        _, ended = await asyncio.gather(
-            list_after(setup, 0.2), answered(setup, RequestKind.REPEATABLE)
+        _, result = await asyncio.gather(
+            list_replicas_after(setup, 0.2), run_request(setup, RequestKind.REPEATABLE)
         )
-        return ended
+        return result
 
-    assert run_virtually(play())[0] == "delivered"
+    assert run_virtually(scenario())[0] == "delivered"
 
 
 @pytest.mark.parametrize("timeout_s,waits_s", [(3.5, 1.0), (1.0, 0.33), (0.6, 0.2)])
 def test_the_wait_for_the_first_list_is_bounded_by_a_fraction_of_the_timeout(timeout_s, waits_s):
-    setup = starting()
+    setup = world_without_list()
     route = replace(ROUTES[RequestKind.REPEATABLE], timeout_s=timeout_s)
-    ending, after_s = run_virtually(answered(setup, RequestKind.REPEATABLE, route=route))
-    assert ending == "no_replica" and after_s == pytest.approx(waits_s, abs=0.05)
+    outcome, after_s = run_virtually(run_request(setup, RequestKind.REPEATABLE, route=route))
+    assert outcome == "no_replica" and after_s == pytest.approx(waits_s, abs=0.05)
 
 
 def test_an_empty_list_ends_the_wait_for_the_first_list():
-    setup = starting()
+    setup = world_without_list()
     setup.directory.update([], 0.0)
-    ending, after_s = run_virtually(answered(setup, RequestKind.REPEATABLE))
-    assert ending == "no_replica" and after_s < 0.1
+    outcome, after_s = run_virtually(run_request(setup, RequestKind.REPEATABLE))
+    assert outcome == "no_replica" and after_s < 0.1
--- a/reachlink/requests/tests/test_held.py
+++ b/reachlink/requests/tests/test_held.py
@@ -51,7 +51,7 @@
 def test_a_request_is_held_after_crashing_three_replicas(kind):
     prefix = "m" if kind is RequestKind.STREAM else "p"
 
-    async def work():
+    async def scenario():
         setup = world("a a a a a", prefix)
         setup.adapter.scripts = {name: [failing(BROKEN)] for name in setup.zones}
         setup.adapter.down = set(setup.zones)
@@ -60,23 +60,23 @@
         assert await ask(setup, kind) == (502, "held_after_crashes", None)
         assert setup.outcomes[-1] == "held_after_crashes"
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_a_replica_that_only_drops_connections_does_not_hold_a_request():
-    async def work():
+    async def scenario():
         setup = world("a a a", "p")
         setup.adapter.scripts = {name: [failing(BROKEN)] for name in setup.zones}
         for _ in range(6):
             assert (await ask(setup, RequestKind.ONCE))[1] != "held_after_crashes"
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_a_held_stream_is_not_sent_to_another_replica():
     """The request is held because it crashed other replicas after their answers had begun."""
 
-    async def work():
+    async def scenario():
         setup = world("a a a", "m")
         setup.adapter.scripts = {name: [answers(200, stream(0, 2), BROKEN)] for name in setup.zones}
         for at in range(6):
@@ -84,13 +84,13 @@
         assert setup.quarantine.held(setup.now())
         assert (await ask(setup, RequestKind.STREAM))[0] == 502
 
-    asyncio.run(work())
+    asyncio.run(scenario())
 
 
 def test_a_request_that_is_held_while_it_waits_at_a_replica_is_stopped():
     """Otherwise it would start at the replica and crash it."""
 
-    async def work():
+    async def scenario():
         setup = world("a a", "m")
         setup.adapter.scripts = {name: [answers(200, 3.0, event(0))] for name in setup.zones}
         asking = asyncio.create_task(ask(setup, RequestKind.STREAM))
@@ -101,4 +101,4 @@
         # The head of the answer was passed on, so that the stream is cut.
         assert await asking == (0, "held_after_crashes", None)
 
-    asyncio.run(work())
+    asyncio.run(scenario())
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -90,7 +90,7 @@
     assert 6.0 < caught.value.retry_after_s <= 7.0
 
 
-def refusing(setup: World) -> Script:
+def limited_script(setup: World) -> Script:
     """Return a script that fails as the client does if other requests used up the permits."""
 
     async def script(sent: SentRequest) -> FakeAnswer:
@@ -105,7 +105,7 @@
     setup = world_with_script("a a a", "m" if kind is RequestKind.STREAM else "p", script=OK)
     *refused, last = setup.zones
     for name in refused:
-        setup.adapter.scripts[name] = [refusing(setup)]
+        setup.adapter.scripts[name] = [limited_script(setup)]
     setup.adapter.scripts[last] = [answering(200, stream(1, 2))]
     setup.parts.retry_limits = RetryLimits(0.0, 0.0)
     # More load at the last replica, so that it is tried last.
--- a/reachlink/requests/tests/test_refused.py
+++ b/reachlink/requests/tests/test_refused.py
@@ -11,7 +11,7 @@
 from reachlink.scheduling import RefusalReason, Refuse
 
 
-def refused(setup, kind, refusal: Refuse | None) -> RequestFailedError:
+def failure_of(setup, kind, refusal: Refuse | None) -> RequestFailedError:
     request = setup.request(kind)
 
     async def place_or_wait(request, tried):
@@ -29,7 +29,7 @@
 def test_the_caller_gets_the_reason_and_retry_delay_of_the_refusal(kind, reason):
     setup = world("a", "m" if kind is RequestKind.STREAM else "p")
     setup.directory.update([], 1.0)
-    error = refused(setup, kind, Refuse(2.5, reason, place_reserved=True))
+    error = failure_of(setup, kind, Refuse(2.5, reason, place_reserved=True))
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert (error.reason, error.retry_after_s) == (reason.value, 2.5)
 
@@ -37,7 +37,7 @@
 def test_the_answer_without_a_refusal_of_the_owner():
     setup = world("a")
     setup.directory.update([], 1.0)
-    error = refused(setup, RequestKind.ONCE, None)
+    error = failure_of(setup, RequestKind.ONCE, None)
     assert (error.status, error.reason, error.retry_after_s) == (503, "no_replica", 0.1)
 
 
--- a/reachlink/requests/tests/test_refusing.py
+++ b/reachlink/requests/tests/test_refusing.py
@@ -23,7 +23,7 @@
         self.setup = setup
         self.per_s = per_s
         self.now = steady_time()
-        self.ends: list[str] = []
+        self.outcomes: list[str] = []
         setup.parts.clock = lambda: self.now
         setup.parts.retry_limits, setup.parts.instance_count = (
             RetryLimits(SHARE, BURST),
@@ -36,9 +36,9 @@
             request.arrived_at = self.now
             try:
                 await self.setup.runner.run(request, FakeSink())
-                self.ends.append("delivered")
+                self.outcomes.append("delivered")
             except RequestFailedError as error:
-                self.ends.append(error.reason)
+                self.outcomes.append(error.reason)
             self.now += 1.0 / self.per_s
 
     def sent_to(self, name: str) -> int:
@@ -53,7 +53,7 @@
     """One of three replicas refuses every request, and therefore appears to have no load."""
     calls = Calls(world("a a a", p1=[NOT_RUN]), per_s, instances)
     asyncio.run(calls.make(763, kind))
-    assert calls.ends.count("delivered") >= 763 - 3
+    assert calls.outcomes.count("delivered") >= 763 - 3
     # The requests that it gets are retried within the budget.
     assert 0 < calls.sent_to("p1") <= 763 * SHARE + BURST
 
@@ -77,7 +77,7 @@
 def test_callers_get_a_retry_delay_soon_if_all_replicas_refuse(monkeypatch):
     setup = world("a a a", p1=[NOT_RUN], p2=[NOT_RUN], p3=[NOT_RUN])
 
-    async def work() -> float:
+    async def scenario() -> float:
         loop_time = asyncio.get_running_loop().time
         monkeypatch.setattr("reachlink.requests.tests.world.steady_time", loop_time)
         setup.parts.clock = loop_time
@@ -89,4 +89,4 @@
         return loop_time()
 
     # Each call takes at most half of the objective.
-    assert run_virtually(work()) <= 30 * 0.02
+    assert run_virtually(scenario()) <= 30 * 0.02
--- a/reachlink/requests/tests/test_runner.py
+++ b/reachlink/requests/tests/test_runner.py
@@ -26,7 +26,7 @@
 UNREACHABLE = UpstreamUnreachableError("refused")
 
 
-def refused(setup: World, kind: RequestKind, **route) -> RequestFailedError:
+def failure_of(setup: World, kind: RequestKind, **route) -> RequestFailedError:
     with pytest.raises(RequestFailedError) as caught:
         asyncio.run(setup.run(kind, **route))
     return caught.value
@@ -40,14 +40,14 @@
 
 def test_a_request_that_may_have_run_is_not_sent_again():
     setup = world_with_script(script=failing(BROKEN))
-    error = refused(setup, RequestKind.ONCE)
+    error = failure_of(setup, RequestKind.ONCE)
     assert (error.status, error.outcome) == (502, Outcome.UNKNOWN)
     assert len(setup.adapter.sent) == 1
 
 
 def test_a_truncated_answer_is_not_passed_on_and_not_reported_as_not_run():
     setup = world_with_script(script=answering(200, b"half", BROKEN))
-    error = refused(setup, RequestKind.ONCE)
+    error = failure_of(setup, RequestKind.ONCE)
     assert error.status == 502 and len(setup.adapter.sent) == 1
 
 
@@ -61,20 +61,20 @@
 
 def test_a_request_refused_by_all_replicas_is_reported_as_not_run():
     setup = world_with_script(script=NOT_RUN)
-    error = refused(setup, RequestKind.ONCE)
+    error = failure_of(setup, RequestKind.ONCE)
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert error.retry_after_s is not None
 
 
 def test_a_request_goes_to_at_most_max_attempts_replicas():
     setup = world_with_script("a a a a", script=NOT_RUN)
-    refused(setup, RequestKind.ONCE)
+    failure_of(setup, RequestKind.ONCE)
     assert len(setup.adapter.sent) == 2
 
 
 def test_an_unreachable_replica_does_not_count_as_an_attempt():
     setup = world_with_script("a a a a", script=failing(UNREACHABLE))
-    error = refused(setup, RequestKind.ONCE, max_attempts=1)
+    error = failure_of(setup, RequestKind.ONCE, max_attempts=1)
     assert error.status == 503 and len(setup.adapter.sent) == 4
 
 
@@ -100,7 +100,7 @@
 
 def test_a_success_that_is_not_genuine_is_not_passed_on():
     setup = world_with_script(script=answering(200, b"x", genuine=False))
-    assert refused(setup, RequestKind.ONCE).status == 502
+    assert failure_of(setup, RequestKind.ONCE).status == 502
 
 
 def test_a_replica_gets_the_remaining_time():
@@ -111,14 +111,14 @@
 
 def test_a_request_gets_its_final_answer_at_its_timeout():
     setup = world_with_script(script=answering(200, 9.0))
-    error = refused(setup, RequestKind.ONCE, timeout_s=0.05)
+    error = failure_of(setup, RequestKind.ONCE, timeout_s=0.05)
     assert (error.status, error.outcome) == (504, Outcome.UNKNOWN)
 
 
 def test_retries_are_bounded_by_the_budget():
     setup = world_with_script("a a a a", script=NOT_RUN)
     for _ in range(40):
-        refused(setup, RequestKind.ONCE, objective_s=0.01)
+        failure_of(setup, RequestKind.ONCE, objective_s=0.01)
     assert len(setup.adapter.sent) <= 40 * 1.1 + 3
 
 
@@ -127,7 +127,7 @@
     parts = setup.runner._parts
     parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=8.0), lambda: 8
     for _ in range(40):
-        refused(setup, RequestKind.ONCE, objective_s=0.01)
+        failure_of(setup, RequestKind.ONCE, objective_s=0.01)
     assert len(setup.adapter.sent) <= 40 + 1
 
 
@@ -203,10 +203,10 @@
     setup = world_with_script("a a", script=MISDIRECTED)
     parts = setup.runner._dispatch._parts
     parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=1.0), lambda: 1
-    error = refused(setup, RequestKind.ONCE, max_attempts=1)
+    error = failure_of(setup, RequestKind.ONCE, max_attempts=1)
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert len(setup.adapter.sent) == 2
-    error = refused(setup, RequestKind.ONCE, max_attempts=1)
+    error = failure_of(setup, RequestKind.ONCE, max_attempts=1)
     assert len(setup.adapter.sent) == 2
 
 
@@ -214,10 +214,10 @@
     """The load balancer needs more than a second to route callers to other zones."""
     setup = world_with_script("a a", script=NOT_RUN)
     setup.runner._dispatch._parts.cut_off = lambda: True
-    error = refused(setup, RequestKind.ONCE)
+    error = failure_of(setup, RequestKind.ONCE)
     assert (error.reason, error.retry_after_s) == ("not_run", 1.2)
     setup.runner._dispatch._parts.directory.update([], 1.0)
-    error = refused(setup, RequestKind.ONCE)
+    error = failure_of(setup, RequestKind.ONCE)
     assert (error.reason, error.retry_after_s) == ("zone_cut_off", 1.2)
 
 
