--- a/reachlink/scheduling/tests/crowd.py
+++ b/reachlink/scheduling/tests/crowd.py
@@ -1,4 +1,4 @@
-"""Engines with too little room for their callers, in simulated time, and ways to share it."""
+"""Simulation of an overloaded fleet, and strategies to share its capacity among requests."""
 
 from collections import Counter, deque
 from collections.abc import Callable
@@ -21,55 +21,55 @@
 )
 
 REPLICAS, CAPACITY_TOKENS, SLOTS = 8, 26_900, 24
-READ_TOKEN_S = 1.0 / 14_000.0
+PREFILL_TOKEN_S = 1.0 / 14_000.0
 TOKENS_PER_S = 100.0
 TICK_S = 0.02
-LENGTH_S, WARM_S = 45.0, 10.0
-# As it stands: who finds no room looks again each tick for this part of its aim.
-WAIT_SHARE = 0.22
+LENGTH_S, WARM_UP_S = 45.0, 10.0
+# Share of its target for which a polling request without capacity looks for it in each tick.
+POLL_TIME_SHARE = 0.22
 
 
 @dataclass(frozen=True)
-class Kind:
-    """Requests of one kind; mean and spread of output, times in seconds."""
+class RequestKind:
+    """Kind of requests: sizes in tokens, log-normal spread of the output, times in seconds."""
 
     name: str
     prompt_tokens: int
     output_tokens: float
     spread: float
-    aim_s: float
+    target_s: float
     deadline_s: float
     priority: int
-    # Part of the memory over time that is asked for by this kind.
-    part: float
+    # Share of the demand for memory over time that is of this kind.
+    load_share: float
 
     @property
-    def holds_s(self) -> float:
-        """How long one holds memory, about, in seconds."""
-        return self.prompt_tokens * READ_TOKEN_S * 2.0 + self.output_tokens / TOKENS_PER_S
+    def hold_s(self) -> float:
+        """Approximate time for which a request holds memory, in seconds."""
+        return self.prompt_tokens * PREFILL_TOKEN_S * 2.0 + self.output_tokens / TOKENS_PER_S
 
 
-VERDICT = Kind("verdict", 2_550, 8.0, 0.0, 1.5, 6.0, 3, part=0.06)
-SUMMARY = Kind("summary", 3_080, 748.0, 0.3, 4.0, 39.0, 5, part=0.94)
-KINDS = (VERDICT, SUMMARY)
+SHORT_ANSWER = RequestKind("verdict", 2_550, 8.0, 0.0, 1.5, 6.0, 3, load_share=0.06)
+LONG_ANSWER = RequestKind("summary", 3_080, 748.0, 0.3, 4.0, 39.0, 5, load_share=0.94)
+KINDS = (SHORT_ANSWER, LONG_ANSWER)
 
 
 @dataclass(eq=False)
-class Asked:
-    """One caller's request and what became of it; times in simulated seconds."""
+class SimulatedRequest:
+    """Request of a caller and its progress; times in simulated seconds."""
 
     number: int
-    kind: Kind
+    kind: RequestKind
     workspace: str
     output: int
-    guess: int
-    at: float
-    may_return: bool = True
-    first_at: float | None = None
+    expected_output: int
+    arrived_at: float
+    may_retry: bool = True
+    first_event_at: float | None = None
     ended_at: float | None = None
     refused_at: float | None = None
-    made: float = 0.0
-    paused: bool = False
+    generated: float = 0.0
+    preempted: bool = False
 
     @property
     def name(self) -> str:
@@ -77,56 +77,58 @@
 
     @property
     def tokens(self) -> int:
-        return self.kind.prompt_tokens + self.guess
+        return self.kind.prompt_tokens + self.expected_output
 
     def need(self, now: float) -> Need:
         return Need(
             tokens=self.tokens,
             prompt_tokens=self.kind.prompt_tokens,
-            first_event_due_in_s=self.at + self.kind.aim_s - now,
-            give_up_in_s=self.at + self.kind.deadline_s - now,
+            first_event_due_in_s=self.arrived_at + self.kind.target_s - now,
+            give_up_in_s=self.arrived_at + self.kind.deadline_s - now,
             priority=self.kind.priority,
             workspace=self.workspace,
-            waited_s=now - self.at,
+            waited_s=now - self.arrived_at,
         )
 
     @property
-    def whole(self) -> bool:
-        return self.ended_at is not None and self.ended_at <= self.at + self.kind.deadline_s
+    def completed(self) -> bool:
+        return self.ended_at is not None and self.ended_at <= self.arrived_at + self.kind.deadline_s
 
     @property
     def in_time(self) -> bool:
-        first = self.first_at if self.first_at is not None else float("inf")
-        return self.whole and not self.paused and first <= self.at + self.kind.aim_s
+        first = self.first_event_at if self.first_event_at is not None else float("inf")
+        return (
+            self.completed and not self.preempted and first <= self.arrived_at + self.kind.target_s
+        )
 
 
 @dataclass
 class Engine:
-    """One replica: reads prompts one after the other, and makes tokens of all at once.
+    """Replica that processes prompts one after the other and decodes all requests at once.
 
-    Who finds no memory waits there, and so does who is pushed out.
+    Requests without memory and preempted requests wait in its own queue.
     """
 
-    queue: deque[Asked] = field(default_factory=deque)
-    reading: deque[tuple[Asked, float]] = field(default_factory=deque)
-    running: list[Asked] = field(default_factory=list)
-    read_again: float = 0.0
+    queue: deque[SimulatedRequest] = field(default_factory=deque)
+    prefilling: deque[tuple[SimulatedRequest, float]] = field(default_factory=deque)
+    running: list[SimulatedRequest] = field(default_factory=list)
+    reprocessed_tokens: float = 0.0
 
     @property
-    def all(self) -> list[Asked]:
-        return [*self.queue, *self.inside]
+    def all_requests(self) -> list[SimulatedRequest]:
+        return [*self.queue, *self.in_memory]
 
     @property
-    def inside(self) -> list[Asked]:
-        return [asked for asked, _ in self.reading] + self.running
+    def in_memory(self) -> list[SimulatedRequest]:
+        return [request for request, _ in self.prefilling] + self.running
 
     @property
     def used_tokens(self) -> float:
-        return sum(a.kind.prompt_tokens + a.made for a in self.inside)
+        return sum(a.kind.prompt_tokens + a.generated for a in self.in_memory)
 
     def option(self, name: str) -> ReplicaOption:
-        there = self.all
-        promised = sum(a.kind.prompt_tokens + max(a.guess, a.made) for a in there)
+        there = self.all_requests
+        promised = sum(a.kind.prompt_tokens + max(a.expected_output, a.generated) for a in there)
         return ReplicaOption(
             name,
             same_zone=True,
@@ -135,279 +137,305 @@
             tokens=round(promised),
             used_tokens=round(self.used_tokens),
             unread_tokens=round(
-                sum(left for _, left in self.reading)
-                + sum(a.kind.prompt_tokens + a.made for a in self.queue)
+                sum(left for _, left in self.prefilling)
+                + sum(a.kind.prompt_tokens + a.generated for a in self.queue)
             ),
             capacity_tokens=CAPACITY_TOKENS,
         )
 
-    def start(self, asked: Asked) -> None:
-        self.queue.append(asked)
+    def start(self, request: SimulatedRequest) -> None:
+        self.queue.append(request)
 
     def _admit(self) -> None:
         while self.queue:
-            tokens = self.queue[0].kind.prompt_tokens + self.queue[0].made
+            tokens = self.queue[0].kind.prompt_tokens + self.queue[0].generated
             if self.used_tokens + tokens > CAPACITY_TOKENS:
                 return
-            # What was made before is read anew.
-            self.reading.append((self.queue.popleft(), tokens))
+            # Output from before a preemption is processed again, like a prompt.
+            self.prefilling.append((self.queue.popleft(), tokens))
 
     def step(self, now: float) -> int:
-        """Work for a tick; return how many were pushed out."""
+        """Work for a tick, and return the number of preemptions."""
         self._admit()
-        can_read = TICK_S / READ_TOKEN_S
-        while self.reading and can_read > 0.0:
-            asked, left = self.reading.popleft()
-            if left > can_read:
-                self.reading.appendleft((asked, left - can_read))
+        prefill_budget = TICK_S / PREFILL_TOKEN_S
+        while self.prefilling and prefill_budget > 0.0:
+            request, left = self.prefilling.popleft()
+            if left > prefill_budget:
+                self.prefilling.appendleft((request, left - prefill_budget))
                 break
-            can_read -= left
-            asked.first_at = asked.first_at or now
-            self.running.append(asked)
-        for asked in self.running:
-            asked.made += TOKENS_PER_S * TICK_S
-            if asked.made >= asked.output:
-                asked.ended_at = now
+            prefill_budget -= left
+            request.first_event_at = request.first_event_at or now
+            self.running.append(request)
+        for request in self.running:
+            request.generated += TOKENS_PER_S * TICK_S
+            if request.generated >= request.output:
+                request.ended_at = now
         self.running = [a for a in self.running if a.ended_at is None]
-        pushed = 0
+        preempted = 0
         while self.running and self.used_tokens > CAPACITY_TOKENS:
-            newest = min(self.running, key=lambda a: a.made)
-            newest.paused = True
+            newest = min(self.running, key=lambda a: a.generated)
+            newest.preempted = True
             self.running.remove(newest)
             self.queue.appendleft(newest)
-            self.read_again += newest.kind.prompt_tokens + newest.made
-            pushed += 1
-        return pushed
+            self.reprocessed_tokens += newest.kind.prompt_tokens + newest.generated
+            preempted += 1
+        return preempted
 
 
-class Way(Protocol):
-    """How requests that wait share the room."""
+class Strategy(Protocol):
+    """Strategy by which requests share the capacity."""
 
-    def arrive(self, asked: Asked, crowd: "Crowd") -> None:
-        """Take a request."""
+    def arrive(self, request: SimulatedRequest, simulation: "OverloadSimulation") -> None:
+        """Take a request that arrives, or retries."""
 
-    def look(self, crowd: "Crowd") -> None:
-        """Start who may begin now, and refuse who may not wait."""
+    def serve(self, simulation: "OverloadSimulation") -> None:
+        """Start the requests that may start now, and refuse those that may not wait longer."""
 
 
 @dataclass
-class Crowd:
-    """A fleet with so many times the requests that it has room for."""
+class OverloadSimulation:
+    """Simulation of a fleet whose load is a multiple of its capacity."""
 
-    way: Way
-    crowding: float
+    strategy: Strategy
+    load_factor: float
     seed: int
-    # Part of all requests that come from one workspace of several.
-    large_part: float = 1.0 / 12.0
+    # Share of all requests that come from one of the workspaces.
+    large_share: float = 1.0 / 12.0
     workspaces: int = 12
-    kinds: tuple[Kind, ...] = KINDS
+    kinds: tuple[RequestKind, ...] = KINDS
     now: float = 0.0
-    asked: list[Asked] = field(default_factory=list)
+    requests: list[SimulatedRequest] = field(default_factory=list)
     engines: list[Engine] = field(default_factory=lambda: [Engine() for _ in range(REPLICAS)])
-    returns: list[tuple[float, Asked]] = field(default_factory=list)
-    preempted: int = 0
+    retries: list[tuple[float, SimulatedRequest]] = field(default_factory=list)
+    preemptions: int = 0
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
-        # What is known of each engine in this tick.
-        self._known: dict[int, ReplicaOption] = {}
+        # States of the engines, cached within a tick.
+        self._options: dict[int, ReplicaOption] = {}
 
-    def play(self) -> "Crowd":
+    def run(self) -> "OverloadSimulation":
         for tick in range(int(LENGTH_S / TICK_S)):
             self.now = tick * TICK_S
             self._arrive()
-            self.way.look(self)
-            self.preempted += sum(engine.step(self.now) for engine in self.engines)
-            self._known.clear()
+            self.strategy.serve(self)
+            self.preemptions += sum(engine.step(self.now) for engine in self.engines)
+            self._options.clear()
         return self
 
     def options(self) -> list[ReplicaOption]:
         for number, engine in enumerate(self.engines):
-            if number not in self._known:
-                self._known[number] = engine.option(str(number))
-        return list(self._known.values())
+            if number not in self._options:
+                self._options[number] = engine.option(str(number))
+        return list(self._options.values())
 
-    def begin(self, asked: Asked, replica: str) -> None:
-        self.engines[int(replica)].start(asked)
-        del self._known[int(replica)]
+    def start(self, request: SimulatedRequest, replica: str) -> None:
+        self.engines[int(replica)].start(request)
+        del self._options[int(replica)]
 
-    def refuse(self, asked: Asked, retry_after_s: float) -> None:
-        asked.refused_at = self.now
+    def refuse(self, request: SimulatedRequest, retry_after_s: float) -> None:
+        request.refused_at = self.now
         back_at = self.now + max(0.1, retry_after_s)
-        if asked.may_return and back_at < asked.at + asked.kind.deadline_s:
-            asked.may_return = False
-            self.returns.append((back_at, asked))
+        if request.may_retry and back_at < request.arrived_at + request.kind.deadline_s:
+            request.may_retry = False
+            self.retries.append((back_at, request))
 
     def _arrive(self) -> None:
         for kind in self.kinds:
             memory = kind.prompt_tokens + kind.output_tokens
-            per_s = kind.part * self.crowding * REPLICAS * CAPACITY_TOKENS / memory / kind.holds_s
+            per_s = (
+                kind.load_share
+                * self.load_factor
+                * REPLICAS
+                * CAPACITY_TOKENS
+                / memory
+                / kind.hold_s
+            )
             while self.random.random() < per_s * TICK_S / (1.0 + per_s * TICK_S):
-                asked = self._new(kind)
-                self.asked.append(asked)
-                self.way.arrive(asked, self)
-        due = [asked for at, asked in self.returns if at <= self.now]
-        self.returns = [(at, asked) for at, asked in self.returns if at > self.now]
-        for asked in due:
-            self.way.arrive(asked, self)
-
-    def _new(self, kind: Kind) -> Asked:
+                request = self._new(kind)
+                self.requests.append(request)
+                self.strategy.arrive(request, self)
+        due = [request for at, request in self.retries if at <= self.now]
+        self.retries = [(at, request) for at, request in self.retries if at > self.now]
+        for request in due:
+            self.strategy.arrive(request, self)
+
+    def _new(self, kind: RequestKind) -> SimulatedRequest:
         output = max(1, round(kind.output_tokens * self.random.lognormvariate(0.0, kind.spread)))
-        guess = max(1, round(output * self.random.lognormvariate(0.0, kind.spread)))
-        large = self.random.random() < self.large_part
+        expected_output = max(1, round(output * self.random.lognormvariate(0.0, kind.spread)))
+        large = self.random.random() < self.large_share
         other = f"w{self.random.randrange(1, self.workspaces)}"
         workspace = "large" if large else other
-        return Asked(len(self.asked), kind, workspace, output, guess, self.now)
+        return SimulatedRequest(
+            len(self.requests), kind, workspace, output, expected_output, self.now
+        )
 
-    def counted(self) -> list[Asked]:
-        """Return the requests whose time was over by the end, without the first ones."""
+    def measured(self) -> list[SimulatedRequest]:
+        """Return the requests after the warm-up whose time was over at the end."""
         return [
             a
-            for a in self.asked
-            if a.at >= WARM_S and a.at + min(12.0, a.kind.deadline_s) <= LENGTH_S
+            for a in self.requests
+            if a.arrived_at >= WARM_UP_S and a.arrived_at + min(12.0, a.kind.deadline_s) <= LENGTH_S
         ]
 
-    def share(self, judge: Callable[[Asked], bool], of: Callable[[Asked], bool]) -> float:
-        found = [judge(a) for a in self.counted() if of(a)]
+    def share_of(
+        self,
+        matches: Callable[[SimulatedRequest], bool],
+        selected: Callable[[SimulatedRequest], bool],
+    ) -> float:
+        found = [matches(a) for a in self.measured() if selected(a)]
         return sum(found) / max(1, len(found))
 
 
 @dataclass
-class AsItStands:
-    """Each looks again each tick, for a part of its aim; whoever looks first gets it."""
+class PollingStrategy:
+    """Requests poll for capacity in each tick for a share of their target, in random order."""
 
-    waiting: list[Asked] = field(default_factory=list)
-    since: dict[int, float] = field(default_factory=dict)
+    waiting: list[SimulatedRequest] = field(default_factory=list)
+    waiting_since: dict[int, float] = field(default_factory=dict)
 
-    def arrive(self, asked: Asked, crowd: Crowd) -> None:
-        self.waiting.append(asked)
-        self.since[asked.number] = crowd.now
+    def arrive(self, request: SimulatedRequest, simulation: OverloadSimulation) -> None:
+        self.waiting.append(request)
+        self.waiting_since[request.number] = simulation.now
 
-    def look(self, crowd: Crowd) -> None:
-        crowd.random.shuffle(self.waiting)
+    def serve(self, simulation: OverloadSimulation) -> None:
+        simulation.random.shuffle(self.waiting)
         left = []
-        for asked in self.waiting:
-            name = choose_replica(crowd.options(), asked.tokens, crowd.random)
+        for request in self.waiting:
+            name = choose_replica(simulation.options(), request.tokens, simulation.random)
             if name is not None:
-                crowd.begin(asked, name)
-            elif crowd.now - self.since[asked.number] > WAIT_SHARE * asked.kind.aim_s:
-                crowd.refuse(asked, 0.1)
+                simulation.start(request, name)
+            elif (
+                simulation.now - self.waiting_since[request.number]
+                > POLL_TIME_SHARE * request.kind.target_s
+            ):
+                simulation.refuse(request, 0.1)
             else:
-                left.append(asked)
+                left.append(request)
         self.waiting = left
 
 
 @dataclass
 class FirstComeFirstServed:
-    """One line by age; the first that finds no room holds it back."""
+    """One queue by age, whose first request blocks the others until there is capacity for it."""
 
-    # Whether who can't begin by its aim is refused on arrival.
+    # Whether a request that is not expected to start by its target is refused on arrival.
     refuses_early: bool = False
-    waiting: deque[Asked] = field(default_factory=deque)
-    begun: deque[tuple[float, int]] = field(default_factory=deque)
-
-    def arrive(self, asked: Asked, crowd: Crowd) -> None:
-        wait_s = self._expected_s(asked, crowd.now)
-        if self.refuses_early and wait_s > asked.at + asked.kind.aim_s - crowd.now:
-            crowd.refuse(asked, wait_s)
+    waiting: deque[SimulatedRequest] = field(default_factory=deque)
+    starts: deque[tuple[float, int]] = field(default_factory=deque)
+
+    def arrive(self, request: SimulatedRequest, simulation: OverloadSimulation) -> None:
+        wait_s = self._expected_s(request, simulation.now)
+        if (
+            self.refuses_early
+            and wait_s > request.arrived_at + request.kind.target_s - simulation.now
+        ):
+            simulation.refuse(request, wait_s)
         else:
-            self.waiting.append(asked)
+            self.waiting.append(request)
 
-    def _expected_s(self, asked: Asked, now: float) -> float:
-        while self.begun and self.begun[0][0] < now - 4.0:
-            self.begun.popleft()
-        drain = sum(tokens for _, tokens in self.begun) / 4.0
+    def _expected_s(self, request: SimulatedRequest, now: float) -> float:
+        while self.starts and self.starts[0][0] < now - 4.0:
+            self.starts.popleft()
+        rate = sum(tokens for _, tokens in self.starts) / 4.0
         ahead = sum(a.tokens for a in self.waiting)
-        return ahead / drain if ahead and drain else 0.0
+        return ahead / rate if ahead and rate else 0.0
 
-    def look(self, crowd: Crowd) -> None:
+    def serve(self, simulation: OverloadSimulation) -> None:
         while self.waiting:
-            asked = self.waiting[0]
-            name = choose_replica(crowd.options(), asked.tokens, crowd.random)
-            over = crowd.now > asked.at + asked.kind.deadline_s - asked.kind.holds_s
+            request = self.waiting[0]
+            name = choose_replica(simulation.options(), request.tokens, simulation.random)
+            over = (
+                simulation.now > request.arrived_at + request.kind.deadline_s - request.kind.hold_s
+            )
             if name is None and not over:
                 return
             self.waiting.popleft()
             if over or name is None:
-                crowd.refuse(asked, 0.1)
+                simulation.refuse(request, 0.1)
             else:
-                self.begun.append((crowd.now, asked.tokens))
-                crowd.begin(asked, name)
+                self.starts.append((simulation.now, request.tokens))
+                simulation.start(request, name)
 
 
 @dataclass
-class InLine:
-    """The product's line, as its owner keeps it."""
+class QueueStrategy:
+    """`RequestQueue`, used as its owner uses it."""
 
     rules: PlacementRules = QUEUED_RULES
-    # Whether who asks for more than its share is refused first.
+    # Whether requests of a workspace over its share are refused first.
     by_shares: bool = True
-    line: RequestQueue = field(default_factory=RequestQueue)
-    waiting: dict[str, Asked] = field(default_factory=dict)
-    # Reason and workspace of those who were refused on arrival, and whether a place was free.
+    queue: RequestQueue = field(default_factory=RequestQueue)
+    waiting: dict[str, SimulatedRequest] = field(default_factory=dict)
+    # Number of refusals on arrival by reason, workspace, and whether a replica had capacity.
     refused: Counter[tuple[RefusalReason, str, bool]] = field(default_factory=Counter)
-    looked_at: int = 0
+    comparisons: int = 0
 
-    def arrive(self, asked: Asked, crowd: Crowd) -> None:
-        now = crowd.now
-        if not len(self.line):
-            name = choose_replica(crowd.options(), asked.tokens, crowd.random, self.rules)
+    def arrive(self, request: SimulatedRequest, simulation: OverloadSimulation) -> None:
+        now = simulation.now
+        if not len(self.queue):
+            name = choose_replica(
+                simulation.options(), request.tokens, simulation.random, self.rules
+            )
             if name is not None:
-                self.line.record_immediate_start(asked.need(now), now)
-                crowd.begin(asked, name)
+                self.queue.record_immediate_start(request.need(now), now)
+                simulation.start(request, name)
                 return
-        waiting = self.line.join(asked.name, "e1", asked.need(now), now, 1e9)
-        self.waiting[asked.name] = asked
-        shed = self.line.shed(now)
+        waiting = self.queue.join(request.name, "e1", request.need(now), now, 1e9)
+        self.waiting[request.name] = request
+        shed = self.queue.shed(now)
         if shed is not None:
-            state = self.line.state_ahead_of(shed, now)
-            crowd.refuse(self.waiting.pop(shed.request_id), expected_wait_s(shed.need, state))
+            state = self.queue.state_ahead_of(shed, now)
+            simulation.refuse(self.waiting.pop(shed.request_id), expected_wait_s(shed.need, state))
         if shed is waiting:
             return
-        state = self.line.state_ahead_of(waiting, now)
+        state = self.queue.state_ahead_of(waiting, now)
         if not self.by_shares:
             state = replace(state, over_share=False)
-        start = best_start(crowd.options(), waiting.need_at(now), crowd.random, state, self.rules)
+        start = best_start(
+            simulation.options(), waiting.need_at(now), simulation.random, state, self.rules
+        )
         if not isinstance(start, Wait | Begin):
-            self.line.leave(asked.name, now)
+            self.queue.leave(request.name, now)
             free = (
-                choose_replica(crowd.options(), asked.tokens, crowd.random, self.rules) is not None
+                choose_replica(simulation.options(), request.tokens, simulation.random, self.rules)
+                is not None
             )
-            self.refused[start.reason, asked.workspace, free] += 1
-            crowd.refuse(self.waiting.pop(asked.name), start.retry_after_s)
+            self.refused[start.reason, request.workspace, free] += 1
+            simulation.refuse(self.waiting.pop(request.name), start.retry_after_s)
 
-    def look(self, crowd: Crowd) -> None:
-        for waiting in self.line.expire(crowd.now):
-            crowd.refuse(self.waiting.pop(waiting.request_id), 0.1)
-        while self._grant_next(crowd):
+    def serve(self, simulation: OverloadSimulation) -> None:
+        for waiting in self.queue.expire(simulation.now):
+            simulation.refuse(self.waiting.pop(waiting.request_id), 0.1)
+        while self._grant_next(simulation):
             continue
 
-    def _grant_next(self, crowd: Crowd) -> bool:
-        options = crowd.options()
-        passed = None
+    def _grant_next(self, simulation: OverloadSimulation) -> bool:
+        options = simulation.options()
+        overtaken = None
         least = float("inf")
-        for waiting in self.line.order(crowd.now):
+        for waiting in self.queue.order(simulation.now):
             name = None
             if waiting.need.tokens < least:
-                self.looked_at += 1
-                name = choose_replica(options, waiting.need.tokens, crowd.random, self.rules)
+                self.comparisons += 1
+                name = choose_replica(options, waiting.need.tokens, simulation.random, self.rules)
             if name is not None:
-                if passed is not None:
-                    passed.record_overtaken(crowd.now)
-                self.line.grant(waiting.request_id, crowd.now)
-                crowd.begin(self.waiting.pop(waiting.request_id), name)
+                if overtaken is not None:
+                    overtaken.record_overtaken(simulation.now)
+                self.queue.grant(waiting.request_id, simulation.now)
+                simulation.start(self.waiting.pop(waiting.request_id), name)
                 return True
             least = min(least, waiting.need.tokens)
-            if passed is None:
-                passed = waiting
-                if passed.reserves_room(crowd.now):
+            if overtaken is None:
+                overtaken = waiting
+                if overtaken.reserves_room(simulation.now):
                     return False
         return False
 
 
 @dataclass
-class ByZone:
-    """Four zones with shares of the load: one line over all, or one each."""
+class ZoneQueuesStrategy:
+    """Zones with different shares of the load: one queue over all zones, or one per zone."""
 
     load: tuple[float, ...]
     over_zones: bool
@@ -415,15 +443,15 @@
 
     def __post_init__(self) -> None:
         self.random = Random(5)
-        self.lines = [InLine() for _ in range(1 if self.over_zones else len(self.load))]
+        self.queues = [QueueStrategy() for _ in range(1 if self.over_zones else len(self.load))]
 
-    def arrive(self, asked: Asked, crowd: Crowd) -> None:
-        zone = self.zones.get(asked.number)
+    def arrive(self, request: SimulatedRequest, simulation: OverloadSimulation) -> None:
+        zone = self.zones.get(request.number)
         if zone is None:
             zone = self.random.choices(range(len(self.load)), self.load)[0]
-            self.zones[asked.number] = zone
-        self.lines[0 if self.over_zones else zone].arrive(asked, crowd)
+            self.zones[request.number] = zone
+        self.queues[0 if self.over_zones else zone].arrive(request, simulation)
 
-    def look(self, crowd: Crowd) -> None:
-        for line in self.random.sample(self.lines, len(self.lines)):
-            line.look(crowd)
+    def serve(self, simulation: OverloadSimulation) -> None:
+        for queue in self.random.sample(self.queues, len(self.queues)):
+            queue.serve(simulation)
