--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -46,8 +46,8 @@
     setup.engine = BACKUP_ENGINE
     sink = run_virtually(setup.run(RequestKind.STREAM))
     assert sink.body == stream(1, 6) and sink.ended
-    home, copy = setup.adapter.sent
-    assert home.backup == copy.replica != home.replica
+    primary, copy = setup.adapter.sent
+    assert primary.backup == copy.replica != primary.replica
     assert copy.continuation.after_event == 3
     assert copy.continuation.memory == MovedMemory(f"{copy.replica}:1", "id-1")
 
@@ -92,20 +92,21 @@
         running = asyncio.create_task(setup.run(RequestKind.STREAM, output_tokens=300))
         while not setup.adapter.sent:
             await asyncio.sleep(0.01)
-        home = setup.adapter.sent[0].replica
-        setup.list_replicas(home)
+        primary = setup.adapter.sent[0].replica
+        setup.list_replicas(primary)
         sink = await running
         await wait_until(lambda: setup.adapter.released)
-        return home, sink
+        return primary, sink
 
-    home, sink = run_virtually(scenario())
+    primary, sink = run_virtually(scenario())
     assert sink.body == stream(1, 5)
     source, target, last = setup.adapter.moves[0]
-    assert source == home != target and not last
+    assert source == primary != target and not last
     assert setup.adapter.released == [MovedMemory("m1:1", "h1")]
 
 
 def test_a_generation_that_outlasts_its_guess_is_copied_when_its_replica_leaves():
+    """A generation past its estimated length was taken for nearly done and not copied."""
     setup = virtual_time_world(
         "a a a", "m", script=answering(200, stream(1, 60), 0.4, stream(61, 62))
     )
@@ -117,13 +118,13 @@
         )
         await wait_until(lambda: setup.adapter.sent)
         await asyncio.sleep(0)
-        home = setup.adapter.sent[0].replica
-        setup.list_replicas(home)
+        primary = setup.adapter.sent[0].replica
+        setup.list_replicas(primary)
         await running
-        return home
+        return primary
 
-    home = run_virtually(scenario())
-    assert [source for source, _, _ in setup.adapter.moves][:1] == [home]
+    primary = run_virtually(scenario())
+    assert [source for source, _, _ in setup.adapter.moves][:1] == [primary]
 
 
 def test_a_copy_is_replaced_if_its_replica_leaves_together_with_the_primary():
@@ -133,19 +134,19 @@
     async def scenario():
         running = asyncio.create_task(setup.run(RequestKind.STREAM))
         await wait_until(lambda: setup.adapter.moves)
-        home, target, _ = setup.adapter.moves[0]
+        primary, target, _ = setup.adapter.moves[0]
         now = loop_time()
-        for name in (home, target):
+        for name in (primary, target):
             setup.departures.report(name, now, leaves_in_s=2.0)
-        setup.list_replicas(home, target)
+        setup.list_replicas(primary, target)
         await wait_until(lambda: {t for _, t, _ in setup.adapter.moves} - {target})
         running.cancel()
         await asyncio.wait({running})
-        return home, target
+        return primary, target
 
-    home, target = run_virtually(scenario())
-    (other,) = set(setup.zones) - {home, target}
-    assert setup.adapter.moves[-1][:2] == (home, other)
+    primary, target = run_virtually(scenario())
+    (other,) = set(setup.zones) - {primary, target}
+    assert setup.adapter.moves[-1][:2] == (primary, other)
     assert MEMORY in setup.adapter.released
 
 
@@ -172,9 +173,9 @@
     setup.adapter.move_result = MOVED
     sink = run_virtually(setup.run(RequestKind.STREAM))
     assert sink.body == stream(1, 6) and sink.ended
-    home, copy = setup.adapter.sent
-    assert home.backup == "" and copy.continuation.memory == MEMORY
-    assert setup.adapter.moves[0] == (home.replica, copy.replica, False)
+    primary, copy = setup.adapter.sent
+    assert primary.backup == "" and copy.continuation.memory == MEMORY
+    assert setup.adapter.moves[0] == (primary.replica, copy.replica, False)
 
 
 def test_a_copy_is_evicted_if_other_instances_need_its_memory():
@@ -218,8 +219,8 @@
     async def scenario():
         running = asyncio.create_task(setup.run(RequestKind.STREAM))
         await wait_until(lambda: setup.adapter.sent)
-        home = setup.adapter.sent[0].replica
-        other = next(name for name in setup.zones if name != home)
+        primary = setup.adapter.sent[0].replica
+        other = next(name for name in setup.zones if name != primary)
         now = loop_time()
         waiting = ReplicaShare(other, 1, 4000, uncovered=(MemoryNote(9, 4000, 50),))
         setup.directory.mark_leaving(other, LeavingSource.CLOSING, now)
