--- a/reachlink/coordination/tests/test_caller_retry_ledger.py
+++ b/reachlink/coordination/tests/test_caller_retry_ledger.py
@@ -1,4 +1,4 @@
-"""The ledger of a line's owner: who comes back is known, who is refused is told and logged."""
+"""Retries of refused callers are recognized, and refusals are recorded and logged."""
 
 import pytest
 from structlog.testing import capture_logs
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -1,4 +1,4 @@
-"""Members are placed by what all have, whoever of the coordinators is lost."""
+"""Requests of members are placed by the load of all instances, also if a coordinator is lost."""
 
 import asyncio
 
@@ -14,7 +14,7 @@
         m1.start_request("r1")
         c1.start_request("r2", 4_000)
         network.now += 1.0
-        # A note is held while there is no news; the clock that it is held by is the loop's.
+        # Replies are held while there is no news, by the clock of the loop.
         await m1.poll_coordinator()
         await m2.poll_coordinator()
         return m2, network.now
--- a/reachlink/coordination/tests/test_initial_replica_list.py
+++ b/reachlink/coordination/tests/test_initial_replica_list.py
@@ -1,4 +1,4 @@
-"""Coordinators that start tell no list before they have a whole one, and refuse nobody by it."""
+"""A coordinator without a complete replica list sends none and refuses no request."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 def partial_list_network(queues: bool = False) -> tuple[Network, Instance, Instance]:
-    """Return a coordinator that has only heard of one replica so far, and a member."""
+    """Return a network, a coordinator that only knows one of the replicas, and a member."""
     network = Network()
     coordinator = Instance(network, "c1", queues=queues)
     member = Instance(network, "m1", queues=queues)
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("queues,hold_s", [(False, None), (True, 0.0)])
 def test_coordinator_without_list_does_not_reply_no_room(queues, hold_s):
-    """The member, which has a list, decides by itself."""
+    """The member has a list and decides itself instead."""
 
     async def scenario():
         _, coordinator, member = partial_list_network(queues)
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -1,4 +1,4 @@
-"""What instances ask and tell each other of limits, in memory."""
+"""Queries and updates about rate limits between instances in memory."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def fleet() -> list[Instance]:
-    """Three instances that hear each other and have heard of a limit."""
+    """Three instances that reach each other and know a limit."""
     network = Network()
     made = [Instance(network, f"e{n}") for n in range(3)]
     for one in made:
@@ -37,7 +37,7 @@
 
 
 def by_rank(fleet: list[Instance]) -> list[Instance]:
-    """Return who hands out the replica's limit, and who takes over from whom."""
+    """Return the instances in the order in which they own the replica's limit."""
     order = rendezvous_order([one.record.name for one in fleet], REPLICA)
     return sorted(fleet, key=lambda one: order.index(one.record.name))
 
@@ -63,7 +63,7 @@
     first, second, third = by_rank(fleet)
     network = first.network
     network.silent.add(first.record.name)
-    # The second one still hears of the first: it could be only this way that is cut.
+    # The successor still hears of the owner: only one direction may be cut.
     sent = 0
     for _ in range(15):
         network.now += 0.1
@@ -83,7 +83,7 @@
     for _ in range(300):
         network.now += 0.1
         sent += acquire(third) <= 0.0
-    # A third of what the replica takes; which no longer is the whole where a side has more.
+    # A third of the limit. A larger side grants the whole limit besides: the total may exceed it.
     assert sent == pytest.approx(30.0 * PER_S / 3, abs=2)
 
 
@@ -104,7 +104,7 @@
     network = one.network
     network.now += 3.0
     assert one.pacing.limits.record_absence(ADDRESS, network.now, network.now)
-    # What the other has heard before is void here.
+    # The end is newer than the limit that the other instance knows.
     one.limits.apply_updates(other.limits.updates())
     assert one.pacing.limits.get(ADDRESS) is None
     network.now += 1.0
@@ -119,7 +119,7 @@
 
 
 def test_end_of_limit_is_sent_to_others(fleet):
-    """Who has no permit for long would hear of it late: the limit was a request in two seconds."""
+    """With a low limit an instance may wait long for a permit, and learn of the end late."""
     one, other, third = fleet
     network = one.network
     network.now += 1.0
@@ -129,7 +129,7 @@
     assert one.pacing.limits.record_absence(ADDRESS, sent_at, network.now)
     other.limits.apply_updates(one.limits.updates())
     assert other.pacing.limits.get(ADDRESS) is None
-    # What was named since holds.
+    # A limit that was advertised after the end stays in force.
     third.pacing.limits.record(ADDRESS, PER_S, network.now)
     third.limits.apply_updates(one.limits.updates())
     assert third.pacing.limits.get(ADDRESS) is not None
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -1,4 +1,4 @@
-"""Paces reach all instances, once, and never as newer than they are."""
+"""Paces reach all instances, once, and with their real age."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 def send_to_peer(teller: Instance, listener: Instance) -> list[PaceUpdate]:
-    """Pass on over the wire what one coordinator tells another."""
+    """Encode, decode and apply the update of one coordinator to another."""
     note = LoadNote(teller.record.name, [], paces=teller.paces.updates_for_peers())
     note = decode(encode(note), LoadNote)
     listener.paces.apply_from_coordinator(note.instance, note.paces)
@@ -201,7 +201,7 @@
     first = [name for _ in range(replicas // MAX_NOTES + 1) for name in notes()]
     assert set(first) == {replica.name for replica in listed}
     for number in range(5):
-        # Until all notes there were to begin with are told again, and between.
+        # Changes while all paces are being sent again, and between two such resends.
         for _ in range(int(0.8 * RESEND_INTERVAL_S / every_s)):
             notes()
         c1.book.paces.reset_replica(f"r{number}")
--- a/reachlink/coordination/tests/test_quarantine_exchange.py
+++ b/reachlink/coordination/tests/test_quarantine_exchange.py
@@ -1,4 +1,4 @@
-"""Crashes that one instance found are known to all, also beyond the coordinators."""
+"""Crashes that one instance has found become known to all coordinators and members."""
 
 import asyncio
 
@@ -63,7 +63,7 @@
 
 
 def test_synchronization_is_repeated_less_often_if_digests_keep_differing(monkeypatch):
-    """In a flood each keeps other crashes: their digests differ for good."""
+    """In a flood of crashes each instance keeps different ones: the digests stay different."""
     monkeypatch.setattr(exchange, "CHECK_INTERVAL_S", 0.01)
 
     async def scenario():
@@ -79,7 +79,7 @@
             await asyncio.sleep(0.02)
         running.cancel()
         asked = [call for call in network.calls if call[1] == "quarantine"]
-        # At the start, then after 1, 2, 4, 8, 16 and 30 s.
+        # One at the start, then after 1, 2, 4, 8, 16 and 30 s.
         assert len(asked) <= 7
 
     asyncio.run(scenario())
@@ -104,7 +104,7 @@
 
 
 def test_instance_that_missed_updates_synchronizes():
-    """Behind a cut while it was told: the digests that come with notes differ."""
+    """It was cut off while the crashes were sent: the digests in later updates differ."""
 
     async def scenario():
         network = Network()
@@ -113,7 +113,7 @@
         running = asyncio.create_task(other.crash_news.run())
         for number in range(3):
             crash(one, number)
-        # Told for long enough: notes have only the digest from here on.
+        # The crashes are no longer news: updates only have the digest from here on.
         network.now += 10.0
         while not holds(other):
             assert one.crash_news.make_update().crashes == []
@@ -132,7 +132,7 @@
 
 @pytest.mark.parametrize("peers", [[], ["e9"]])
 def test_start_without_reply_is_not_blocked_forever(peers):
-    """Alone, or where all start at once and nobody answers yet."""
+    """No peer is known, or all instances start at once and none replies yet."""
 
     async def scenario():
         network = Network()
@@ -150,7 +150,7 @@
 
 
 def test_starting_coordinator_learns_crashes_from_its_members():
-    """Found with real processes: it had nobody to ask, and sent what its member held."""
+    """It knows no peer to ask and would send requests that its member holds in quarantine."""
 
     async def scenario():
         network = Network()
@@ -175,7 +175,7 @@
 
 
 def test_update_of_member_that_knows_more_is_not_held():
-    """Kept waiting for news by a coordinator that has just started, it could tell it nothing."""
+    """A held reply would delay the synchronization of a coordinator that has just started."""
 
     async def scenario():
         network = Network()
--- a/reachlink/coordination/tests/test_queue.py
+++ b/reachlink/coordination/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Requests that find no room wait in one line, whoever asks for them."""
+"""Requests of all instances that find no room wait in one queue."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -40,7 +40,7 @@
 def full_fleet(
     coordinators: int = 2, members: int = 2
 ) -> tuple[Network, list[Instance], list[Instance]]:
-    """Return a fleet without room: each replica has one request of the first coordinator."""
+    """Return a fleet whose replicas are filled by requests of the first coordinator."""
     network, chosen, others = make_fleet(coordinators, members, queues=True)
     for replica in ("r1", "r2"):
         chosen[0].start_request(replica, 30_000)
@@ -49,7 +49,7 @@
 
 
 def exchange_loads(chosen: list[Instance], now: float) -> None:
-    """Have each coordinator know what the others have."""
+    """Send the load of each coordinator to all others."""
     for sender in chosen:
         for receiver in chosen:
             if receiver is not sender:
@@ -61,7 +61,7 @@
 
 
 def end_requests(instance: Instance, replica: str) -> None:
-    """Have an instance's requests at a replica end."""
+    """End the requests of an instance at a replica."""
     for flight in list(instance.book.state(replica).flights):
         instance.book.remove(replica, flight)
 
@@ -147,7 +147,7 @@
         network, chosen, others = full_fleet(members=instances - 2)
         waiting = []
         for number, member in enumerate(reversed(others)):
-            # Each has waited for longer than the one before.
+            # Each request has waited longer than the one before.
             query = make_queued_query(
                 f"id-{number}", tokens=10_000, waited_s=number * 0.01, hold_s=1.0
             )
@@ -159,7 +159,7 @@
         answers = await asyncio.gather(*waiting)
         return [number for number, answer in enumerate(answers) if answer.replica is not None]
 
-    # Three fit into each of the two replicas.
+    # Three requests fit into each of the two replicas.
     assert run_scenario(scenario()) == list(range(instances - 2))[-6:]
 
 
@@ -188,7 +188,7 @@
 
 
 def test_grant_to_instance_that_reports_elsewhere_counts_briefly():
-    """That one tells of it soon, and it would count twice."""
+    """The other coordinator soon reports the request, which would then count twice."""
 
     async def scenario():
         network, chosen, (m1, _) = make_fleet(queues=True)
@@ -290,7 +290,7 @@
         owner = owner_of(m1, chosen, network.now)
         waiting = asyncio.ensure_future(m1.member.ask(make_queued_query("id-1", hold_s=0.5)))
         await asyncio.sleep(0.05)
-        # The owner's process stood still meanwhile.
+        # The owner's process is paused past the hold time of the query.
         network.now += 0.6
         for replica in ("r1", "r2"):
             end_requests(chosen[0], replica)
@@ -307,7 +307,7 @@
     async def scenario():
         network, chosen, (m1, _) = full_fleet()
         owner = owner_of(m1, chosen, network.now)
-        # The last look has ended, and nothing was told of it yet.
+        # The scan task has ended, but its callback has not run yet.
         ended = asyncio.ensure_future(asyncio.sleep(0.0))
         await ended
         owner.queue_owner._scan_task = ended
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -1,4 +1,4 @@
-"""Who waits in line is neither lost, served twice nor kept too long, whatever fails."""
+"""Failures neither lose queued requests, nor serve them twice, nor delay them too long."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -28,14 +28,14 @@
     objective_s=OBJECTIVE_S,
 )
 TICK_S = 0.005
-# Longest that a member may take to have a place at another owner, in seconds: a held answer
-# that does not come, the question to the next, and its next look.
+# Longest time in seconds until a member's request is queued at another owner and scanned: the
+# timeout of the held query, the query to the next owner, and the time to its next scan.
 MAX_FAILOVER_S = 0.5 + 2 * ANSWER_TIMEOUT_S + 0.1
 
 
 @dataclass
 class Simulation:
-    """A fleet without room whose clock goes on, and what became of each request."""
+    """A fleet without room with a running clock, and the outcome of each request."""
 
     coordinators: int = 2
     members: int = 2
@@ -60,7 +60,7 @@
         return next(c for c in self.chosen if c.record.name == name)
 
     def exchange_loads(self) -> None:
-        """Have all that reach each other tell what they have."""
+        """Exchange the loads of all instances that reach each other."""
         reachable = [i for i in self.instances if i.record.name not in self.network.silent]
         for sender in reachable:
             note = LoadNote(sender.record.name, sender.book.shares(self.network.now))
@@ -69,7 +69,7 @@
                     receiver.shared.take(note, self.network.now)
 
     def make_room(self) -> None:
-        """Have all that ran at the beginning end."""
+        """End all requests that fill the replicas at the start."""
         for replica in ("r1", "r2"):
             for flight in list(self.filler.book.state(replica).flights):
                 self.filler.book.remove(replica, flight)
@@ -92,7 +92,7 @@
             self.refused.append(name)
 
     async def run(self) -> None:
-        """Have the time go on as the loop's does, and all tell their load."""
+        """Advance the clock with the time of the loop, and exchange loads regularly."""
         loop = asyncio.get_running_loop()
         at, told_at = loop.time(), loop.time()
         while True:
@@ -163,7 +163,7 @@
     async def scenario(sim: Simulation) -> None:
         sim.others.append(sim.others[0])
         await enqueue_all(sim, "id-1")
-        # Its answer has just been held anew.
+        # Its second query has just been sent and is held.
         await asyncio.sleep(0.4)
         sim.network.silent.add(sim.owner.record.name)
         sim.ask(sim.others[0], "id-2")
@@ -203,7 +203,7 @@
         sim.make_room()
         assert await sim.all_done(MAX_FAILOVER_S)
         await asyncio.sleep(0.1)
-        # What it had kept for them is over: nobody stands there.
+        # The leases of the requests that moved on have expired at the paused owner.
         assert owner.queue_owner is not None
 
     assert served_once(run_scenario(scenario), "id-1", "id-2")
@@ -233,7 +233,7 @@
             if m.queue_owner is not None
         ]
         assert lengths == [1, 1]
-        # What the others had told fades, and with it what stood against a start.
+        # The last known load of the others expires, so that the requests may start.
         assert await sim.all_done(4.0)
 
     assert served_once(run_scenario(scenario), "id-1", "id-2")
@@ -242,7 +242,7 @@
 def test_two_temporary_owners_serve_each_request_once():
     async def scenario(sim: Simulation) -> None:
         await enqueue_all(sim, "id-1", "id-2")
-        # One member loses the owner, the other does not.
+        # One member finds the owner silent, the other does not.
         other = sim.others[1]
         other.selector.mark_silent(sim.owner.record.name, sim.network.now)
         await asyncio.sleep(0.6)
@@ -327,7 +327,7 @@
         sim.network.silent.add(sim.others[0].record.name)
         sim.tasks[0].cancel()
         del sim.tasks[0]
-        # Its call is held for half a second at the most, and its place a little longer.
+        # Its query is held for at most half a second, and its lease ends shortly after.
         await asyncio.sleep(1.0)
         owner = sim.owner.queue_owner
         assert owner is not None and owner.waiting_counts == {"chat": 1}
@@ -363,7 +363,7 @@
 
 @pytest.mark.parametrize("instances", [8, 65, 195])
 def test_messages_per_waiting_request_do_not_grow_with_instances(instances):
-    """One question not held, then one each half second."""
+    """Each request needs one query that is not held, then one every half second."""
     members = instances - 2
 
     async def scenario(sim: Simulation) -> None:
@@ -400,11 +400,12 @@
 
     async def scenario(sim: Simulation) -> None:
         await enqueue_all(sim, *names)
-        # Nothing becomes free meanwhile: a usual request in that time would be.
+        # No room becomes free, although a typical request would have ended in this time.
         await asyncio.sleep(2.0)
         assert not sim.refused
         await asyncio.sleep(stuck_s - 2.0)
-        # Of those in line only who would wait for three times what it has: the last.
+        # Of the queued requests only those at the end are refused, whose forecast wait is three
+        # times the time that they have left.
         gone = sorted(sim.refused)
         assert gone == names[number - len(gone) :]
         assert len(gone) <= number - min(number, 4)
--- a/reachlink/coordination/tests/test_queue_grants.py
+++ b/reachlink/coordination/tests/test_queue_grants.py
@@ -1,4 +1,4 @@
-"""Who is granted the room that there is: nobody waits for room that others can't use."""
+"""Free room is granted to the first request that can use it, and not kept from others."""
 
 import asyncio
 from itertools import permutations
@@ -44,7 +44,7 @@
         await asyncio.sleep(0.05)
         first = await sim.others[1].member.ask(make_queued_query("first", tokens=4_000))
         assert first is not None and first.replica is not None
-        # By now it has been passed for so long that it holds room back.
+        # By now the first request was overtaken for so long that it reserves room.
         await asyncio.sleep(0.5)
         second = await sim.others[1].member.ask(
             make_queued_query("second", tokens=4_000, hold_s=0.3)
@@ -119,7 +119,7 @@
 def test_fitting_request_gets_place_behind_any_number_that_do_not_fit():
     async def scenario(sim: Simulation) -> None:
         fill_except(sim, 5_000)
-        # Each asks for less than the one before, and for more than there is.
+        # Each request needs less than the one before, and more than there is.
         ask_all(
             sim,
             [make_queued_query(f"id-{n}", tokens=29_000 - 500 * n, hold_s=1.0) for n in range(30)],
--- a/reachlink/coordination/tests/test_queue_over_zones.py
+++ b/reachlink/coordination/tests/test_queue_over_zones.py
@@ -1,4 +1,4 @@
-"""One line over all zones that reach each other, or one a zone."""
+"""All zones that reach each other share one queue, or each zone has its own."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class Region:
-    """A coordinator and a member in each of three zones, and no room."""
+    """A coordinator and a member in each of three zones, without room."""
 
     def __init__(self, over_zones: bool) -> None:
         self.network = Network()
@@ -31,7 +31,7 @@
                 coordinator.start_request(replica, 30_000)
 
     async def stand(self) -> list[int]:
-        """Have one request of each zone wait; return how many stand in each zone's line."""
+        """Queue one request of each zone; return the length of each zone's queue."""
         tasks = [
             asyncio.ensure_future(
                 m.member.ask(make_queued_query(f"id-{m.record.name}", hold_s=1.0))
@@ -50,7 +50,7 @@
         return lengths
 
     def cut(self, zone: str) -> None:
-        """Cut a zone off, as all have noticed."""
+        """Cut off a zone, after all instances have noticed it."""
         for instance in self.coordinators + self.members:
             inside = instance.record.availability_zone == zone
             instance.silent_zones = set(ZONES) - {zone} if inside else {zone}
@@ -86,7 +86,7 @@
         return lost, first, await region.stand()
 
     lost, first, then = run_virtually(scenario())
-    # The question that showed it went to the own zone's next, if there is one.
+    # The queries that found the owner lost were repeated at an owner in their own zone.
     assert first[lost] == 0
     assert sorted(then) == [0, 0, 3]
     assert then[lost] == 0
--- a/reachlink/coordination/tests/test_queue_refusals.py
+++ b/reachlink/coordination/tests/test_queue_refusals.py
@@ -1,4 +1,4 @@
-"""Who the owner of a line refuses, and what they find who come back."""
+"""Refusals by the owner of a queue, and the retries of refused callers."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 from reachlink.requests import PlaceQuestion
 from reachlink.scheduling import RefusalReason, Refuse, Wait
 
-# Until then how fast room comes is not known, and a little longer, in seconds.
+# Time in seconds after which the rate at which room becomes free is known.
 GRANT_RATE_KNOWN_S = 2.5
 
 
@@ -18,7 +18,7 @@
     async def scenario(sim: Simulation) -> None:
         await enqueue_all(sim, "id-1")
         await asyncio.sleep(GRANT_RATE_KNOWN_S)
-        # It may begin in the first half of its time, and has its turn in a quarter of it.
+        # It may start in the first half of its time, and its turn comes within a quarter of it.
         long = make_queued_query(
             "long", tokens=8_000, hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0
         )
@@ -30,7 +30,7 @@
 
 
 def fill_except(sim: Simulation, tokens: int) -> None:
-    """Have each replica be full but for so many tokens."""
+    """Fill each replica except for a number of tokens."""
     sim.make_room()
     for replica in ("r1", "r2"):
         sim.filler.start_request(replica, 30_000 - tokens)
@@ -93,7 +93,7 @@
         back = make_queued_query("back", hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         back = msgspec.structs.replace(back, fingerprint=7)
         await first.member.ask(back)
-        # Its instance says nothing for longer than its place is kept.
+        # Its instance sends no query until after the lease of the request has expired.
         await asyncio.sleep(1.0)
         assert queue_owner.waiting_counts == {"chat": 0}
         await second.member.ask(
@@ -116,7 +116,7 @@
 
 
 async def queue_large_workspace(sim: Simulation) -> None:
-    """Have one workspace wait for more than there is, until how fast room comes is known."""
+    """Queue requests of one workspace for more room than there is, until the rate is known."""
     asking = sim.others[0].member
     for _ in range(6):
         queries = [make_query_of("large", f"large-{n}", 6_000) for n in range(9)]
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -1,4 +1,4 @@
-"""Coordinators and members in memory, on a clock of their own."""
+"""Coordinators and members in memory, with a simulated clock."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -37,7 +37,7 @@
 
 @dataclass
 class Network:
-    """Hands messages over at once, but not to or from those that are cut off."""
+    """Delivers messages at once, except to and from instances that are silent."""
 
     now: float = 100.0
     handlers: dict[str, dict[str, Handler]] = field(default_factory=dict)
@@ -48,14 +48,14 @@
 
 @dataclass
 class AllZonesReachable:
-    """All zones can be reached."""
+    """A `ZoneReach` with all zones reachable."""
 
     silent_zones: frozenset[str] = frozenset()
     cut_off: bool = False
 
 
 class FakeBus:
-    """One instance's end of the network; its address is its name."""
+    """Message bus of one instance; its address is its name."""
 
     def __init__(self, network: Network, name: str) -> None:
         self._network = network
@@ -71,7 +71,7 @@
             raise CallTimeoutError(f"{channel} at {address}")
         handled = asyncio.ensure_future(self._handled(address, channel, body))
         done, _ = await asyncio.wait({handled}, timeout=timeout_s)
-        # A handler goes on where its caller has given up, and where nobody hears it.
+        # A handler keeps running after its caller has timed out or was cut off.
         if not done or address in self._network.silent or self._name in self._network.silent:
             raise CallTimeoutError(f"{channel} at {address}")
         return handled.result()
@@ -91,7 +91,7 @@
 
 
 class Instance:
-    """One entry instance's parts that coordinate or follow."""
+    """The parts of an entry instance that coordinate requests or follow a coordinator."""
 
     def __init__(
         self,
@@ -216,12 +216,12 @@
         self.coordinator.set_coordinating(not self.selector.is_member)
 
     async def poll_coordinator(self) -> None:
-        """Exchange one note and picture with the preferred coordinator."""
+        """Exchange one update and snapshot with the preferred coordinator."""
         coordinator = self.selector.by_preference(self.network.now)[0]
         await self.member._poll_once(coordinator)
 
     def start_request(self, replica: str, tokens: int = 9_000) -> Flight:
-        """Have a request at a replica."""
+        """Start a request at a replica."""
         flight = Flight(f"{self.record.name}-{replica}", tokens, used_tokens=tokens)
         self.book.add(replica, flight)
         return flight
@@ -230,7 +230,7 @@
 def make_fleet(
     coordinators: int = 2, members: int = 2, queues: bool = False
 ) -> tuple[Network, list[Instance], list[Instance]]:
-    """Return a network, settled coordinators that know the replicas, and members."""
+    """Return a network, ready coordinators that know the replicas, and members."""
     network = Network()
     chosen = [Instance(network, f"c{i}", queues=queues) for i in range(1, coordinators + 1)]
     others = [Instance(network, f"m{i}", queues=queues) for i in range(1, members + 1)]
