--- a/reachlink/pacing/_limits.py
+++ b/reachlink/pacing/_limits.py
@@ -1,6 +1,6 @@
 """Rate limits that replicas advertise for all instances together; pure.
 
-An overloaded replica states the requests per second that it accepts in its answers, for as
+An overloaded replica states in its answers how many requests per second it accepts, for as
 long as it is overloaded. This module holds what one instance knows of these limits; `_sharing`
 divides them among instances.
 """
@@ -9,13 +9,14 @@
 from dataclasses import dataclass
 
 # Lowest limit in requests per second that is enforced. A replica that advertises less, or 0, still
-# gets one request in 10 s that asks whether the limit is in force; otherwise it would never end.
+# gets one request every 10 s, whose answer shows whether the limit is still in force. Otherwise
+# the limit would never end.
 MIN_REQUESTS_PER_S = 0.1
 # Highest limit in requests per second; higher values are reduced to it. It exceeds the load of the
 # whole fleet.
 MAX_REQUESTS_PER_S = 1e6
-# Longest time in seconds until a permit is requested again, however late the next permit was
-# announced: the instance that grants permits may change, and so may the share that it grants.
+# Longest time in seconds until a permit is requested again, even if the next permit was announced
+# for later: the instance that grants permits may change, and so may the share that it grants.
 MAX_PERMIT_POLL_S = 0.5
 # Maximum number of replicas tracked; well above the 710 replicas of the largest fleet.
 MAX_TRACKED_REPLICAS = 2000
--- a/reachlink/pacing/_messages.py
+++ b/reachlink/pacing/_messages.py
@@ -45,7 +45,7 @@
         Whether the instance that replies owns the limit; if not, `wait_s` has no meaning.
     wait_s : float
         Time in seconds until the request may be sent; if longer than `max_wait_s` of the
-        question, no permit is reserved.
+        query, no permit is reserved.
     """
 
     is_owner: bool
--- a/reachlink/pacing/_pacing_tracker.py
+++ b/reachlink/pacing/_pacing_tracker.py
@@ -101,7 +101,10 @@
         return self.refusals.is_empty and all(kind.is_empty for kind in self._kinds)
 
     def remaining_s(self, address: str, now: float) -> float:
-        """Return for how many seconds a replica may get no request by its own demand."""
+        """Return for how many seconds a replica wants no requests; 0 if it accepts them.
+
+        Refusals do not count, since the replica did not ask for a wait.
+        """
         return max(kind.remaining_s(address, now) for kind in self._kinds)
 
     def admits(self, address: str, now: float, max_wait_s: float = 0.0) -> bool:
@@ -124,7 +127,7 @@
         return self.limits.remaining_s(address, now) <= max_wait_s
 
     def hold(self, addresses: Sequence[str], now: float) -> Hold | None:
-        """Return why and for how long none of some replicas is fully available.
+        """Return the hold on some replicas, if all of them are held back.
 
         Parameters
         ----------
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -27,8 +27,8 @@
 # network partition the roster shrinks to this side after 30 s, while the instances on the other
 # side still send.
 ROSTER_RETENTION_S = 300.0
-# Time in seconds after its start during which an instance grants only a small share of a limit,
-# and that share. While all instances start at once, each may not know the others yet.
+# Time in seconds after its start during which an instance grants only a small share of each limit,
+# and that share. If all instances start at once, each may not know the others yet.
 SETTLE_S = 2.0
 UNSETTLED_SHARE = 0.1
 # Maximum number of replicas whose permits are counted.
@@ -156,9 +156,9 @@
         return limiter.take(now, query.max_wait_s, query.background)
 
     def grant_without_owner(self, query: PermitQuery, now: float) -> float:
-        """Return the wait in seconds for a permit for a request of this instance without an owner.
+        """Return the wait in seconds for a permit from this instance's own share of a limit.
 
-        Used while this instance reaches no owner of the limit; see `RateLimiter.take`.
+        Used while no owner of the limit can be reached; see `RateLimiter.take`.
         """
         requests_per_s = query.requests_per_s / max(1, len(self._known), *self._instance_counts)
         limiter = self._own_limiters.get(query.replica)
