--- a/reachlink/lengths/tests/test_lengths.py
+++ b/reachlink/lengths/tests/test_lengths.py
@@ -9,7 +9,7 @@
 KEY = LengthKey("chat", "w1")
 
 
-def feed(lengths: LengthEstimator, key: LengthKey, values) -> None:
+def observe_all(lengths: LengthEstimator, key: LengthKey, values) -> None:
     for value in values:
         lengths.observe(key, 0, value, ended=True)
 
@@ -18,7 +18,7 @@
     random = Random(1)
     sample = [max(1, round(math.exp(random.gauss(4.5, 1.0)))) for _ in range(3000)]
     lengths = LengthEstimator()
-    feed(lengths, KEY, sample)
+    observe_all(lengths, KEY, sample)
     curve = lengths.curve(KEY)
     for length in (16, 64, 128, 256, 512):
         truth = sum(1 for s in sample if s > length) / len(sample)
@@ -51,15 +51,15 @@
 
 def test_a_new_workspace_falls_back_to_its_service():
     lengths = LengthEstimator()
-    feed(lengths, KEY, [1000] * 200)
+    observe_all(lengths, KEY, [1000] * 200)
     assert lengths.curve(LengthKey("chat", "new")).longer_than(500) > 0.8
     assert lengths.curve(LengthKey("other")).longer_than(500) > 0.5
 
 
 def test_estimate_follows_drift():
     lengths = LengthEstimator()
-    feed(lengths, KEY, [30] * 1000)
-    feed(lengths, KEY, [900] * 400)
+    observe_all(lengths, KEY, [30] * 1000)
+    observe_all(lengths, KEY, [900] * 400)
     assert lengths.curve(KEY).longer_than(500) > 0.6
 
 
--- a/reachlink/limits/_buffer_budget.py
+++ b/reachlink/limits/_buffer_budget.py
@@ -46,7 +46,7 @@
         self._limit = limit
         self._high_watermark = int(limit * HIGH_WATERMARK_SHARE)
         self._low_watermark = int(limit * LOW_WATERMARK_SHARE)
-        self._held = dict.fromkeys(BufferKind, 0)
+        self._bytes_by_kind = dict.fromkeys(BufferKind, 0)
         self._total = 0
         self._under_pressure = False
         # Called with True when the high watermark is reached, and with False when usage falls to
@@ -90,7 +90,7 @@
 
     def bytes_of(self, kind: BufferKind) -> int:
         """Return the bytes of one kind buffered now."""
-        return self._held[kind]
+        return self._bytes_by_kind[kind]
 
     def admits(self, size: int) -> bool:
         """Return whether a body may be received.
@@ -114,7 +114,7 @@
 
     def adjust(self, kind: BufferKind, size: int) -> None:
         """Add `size` bytes to the bytes buffered; a negative number releases bytes."""
-        self._held[kind] += size
+        self._bytes_by_kind[kind] += size
         self._total += size
         under_pressure = self._total >= self._high_watermark or (
             self._under_pressure and self._total > self._low_watermark
@@ -125,8 +125,8 @@
 
     def reclassify(self, kind: BufferKind, target: BufferKind, size: int) -> None:
         """Move `size` bytes from one kind to another; the total does not change."""
-        self._held[kind] -= size
-        self._held[target] += size
+        self._bytes_by_kind[kind] -= size
+        self._bytes_by_kind[target] += size
 
 
 class CallerBuffer:
@@ -138,11 +138,11 @@
         Budget of the instance.
     """
 
-    __slots__ = ("_budget", "_held")
+    __slots__ = ("_budget", "_bytes_by_kind")
 
     def __init__(self, budget: BufferBudget) -> None:
         self._budget = budget
-        self._held = dict.fromkeys(BufferKind, 0)
+        self._bytes_by_kind = dict.fromkeys(BufferKind, 0)
 
     @property
     def limited(self) -> bool:
@@ -152,11 +152,11 @@
     @property
     def total(self) -> int:
         """Bytes buffered for this caller now."""
-        return sum(self._held.values())
+        return sum(self._bytes_by_kind.values())
 
     def bytes_of(self, kind: BufferKind) -> int:
         """Return the bytes of one kind buffered for this caller now."""
-        return self._held[kind]
+        return self._bytes_by_kind[kind]
 
     def admits(self, size: int) -> bool:
         """Return whether a body may be received; see `BufferBudget.admits`."""
@@ -180,10 +180,10 @@
             return True
         if not self.fits_caller_limit(size):
             return False
-        long = kind is not BufferKind.ANSWER and self._held[kind] + size > MAX_SHORT_BYTES
+        long = kind is not BufferKind.ANSWER and self._bytes_by_kind[kind] + size > MAX_SHORT_BYTES
         if not self._budget.has_room(size, long):
             return False
-        self._change(kind, size)
+        self._adjust(kind, size)
         return True
 
     def set_size(self, kind: BufferKind, size: int) -> bool:
@@ -201,22 +201,22 @@
         """
         if not self.limited:
             return True
-        self._change(kind, size - self._held[kind])
+        self._adjust(kind, size - self._bytes_by_kind[kind])
         return self._budget.may_buffer_answers and self.fits_caller_limit(0)
 
     def reclassify(self, kind: BufferKind, target: BufferKind) -> None:
         """Move all bytes of one kind to another kind."""
-        size = self._held[kind]
-        self._held[kind] -= size
-        self._held[target] += size
+        size = self._bytes_by_kind[kind]
+        self._bytes_by_kind[kind] -= size
+        self._bytes_by_kind[target] += size
         self._budget.reclassify(kind, target, size)
 
     def release(self) -> None:
         """Release all bytes buffered for this caller."""
-        for kind, size in self._held.items():
-            self._change(kind, -size)
+        for kind, size in self._bytes_by_kind.items():
+            self._adjust(kind, -size)
 
-    def _change(self, kind: BufferKind, size: int) -> None:
+    def _adjust(self, kind: BufferKind, size: int) -> None:
         if size:
-            self._held[kind] += size
+            self._bytes_by_kind[kind] += size
             self._budget.adjust(kind, size)
--- a/reachlink/pacing/tests/test_limits.py
+++ b/reachlink/pacing/tests/test_limits.py
@@ -29,17 +29,17 @@
 
 
 def test_only_answers_to_later_requests_end_a_limit():
-    book = LimitTracker()
-    assert book.record(A, 3.3, 10.0)
-    assert not book.record(A, 3.3, 11.0)
-    assert not book.record_absence(A, sent_at=10.5, now=11.2)
-    assert book.get(A).requests_per_s == 3.3
-    assert book.record_absence(A, sent_at=11.1, now=11.2)
-    assert book.get(A) is None
+    tracker = LimitTracker()
+    assert tracker.record(A, 3.3, 10.0)
+    assert not tracker.record(A, 3.3, 11.0)
+    assert not tracker.record_absence(A, sent_at=10.5, now=11.2)
+    assert tracker.get(A).requests_per_s == 3.3
+    assert tracker.record_absence(A, sent_at=11.1, now=11.2)
+    assert tracker.get(A) is None
 
 
 def test_new_limit_replaces_the_previous_one():
-    book = LimitTracker()
-    book.record(A, 3.3, 10.0)
-    assert book.record(A, 2.7, 11.0)
-    assert book.get(A).requests_per_s == 2.7
+    tracker = LimitTracker()
+    tracker.record(A, 3.3, 10.0)
+    assert tracker.record(A, 2.7, 11.0)
+    assert tracker.get(A).requests_per_s == 2.7
--- a/reachlink/routing/tests/test_patch.py
+++ b/reachlink/routing/tests/test_patch.py
@@ -19,7 +19,7 @@
     return PublishedTable(number, NATIVE_FORMAT, document)
 
 
-def many(count: int, number: int) -> PublishedTable:
+def table_of_routes(count: int, number: int) -> PublishedTable:
     objects = ",".join(f'{{"name":"r{i}","path":"/{i}/"}}' for i in range(count))
     return table(number, f'{{"number":{number},"routes":[{objects}]}}')
 
@@ -51,21 +51,24 @@
 
 
 def test_sequence_with_a_missing_patch_is_rejected():
-    tables = [many(count, count) for count in range(1, 5)]
+    tables = [table_of_routes(count, count) for count in range(1, 5)]
     patches = [patch_between(a, b) for a, b in zip(tables, tables[1:], strict=False)]
     with pytest.raises(PatchMismatchError):
         apply_patches(tables[0], [patches[0], patches[2]])
 
 
 def test_patch_for_another_number_is_rejected():
-    patch = patch_between(many(3, 1), many(4, 2))
-    for held in (None, many(3, 7)):
+    patch = patch_between(table_of_routes(3, 1), table_of_routes(4, 2))
+    for held in (None, table_of_routes(3, 7)):
         with pytest.raises(PatchMismatchError):
             apply_patches(held, [patch])
 
 
 def test_size_of_a_patch_depends_on_the_change_only():
-    sizes = {count: patch_between(many(count, 8), many(count, 9)).size for count in (40, 10_000)}
+    sizes = {
+        count: patch_between(table_of_routes(count, 8), table_of_routes(count, 9)).size
+        for count in (40, 10_000)
+    }
     assert sizes[10_000] <= 1.5 * sizes[40] < 300
 
 
--- a/reachlink/routing/tests/test_reading.py
+++ b/reachlink/routing/tests/test_reading.py
@@ -34,7 +34,7 @@
     return PublishedTable(number, NATIVE_FORMAT, document)
 
 
-def finish(steps):
+def run_to_end(steps):
     """Return the result of a generator, and its number of steps."""
     count = 0
     while True:
@@ -60,7 +60,7 @@
     reader = TableReader()
     for number, routes in enumerate(tables, 1):
         table = published(number, routes)
-        index, _ = finish(reader.steps(table))
+        index, _ = run_to_end(reader.steps(table))
         assert index.table == table.decode()
 
 
@@ -68,20 +68,20 @@
 @given(ROUTES, st.sampled_from(["a", "b", "c"]), st.sampled_from(PATHS))
 def test_longest_matching_prefix_of_the_host_is_found(routes, host, path):
     index = RoutingIndex(RoutingTable(1, tuple(routes), SERVICES))
-    fitting = [r for r in routes if r.host.lower() == host and path.startswith(r.path_prefix)]
-    expected = max(fitting, key=lambda r: len(r.path_prefix), default=None)
+    matching = [r for r in routes if r.host.lower() == host and path.startswith(r.path_prefix)]
+    expected = max(matching, key=lambda r: len(r.path_prefix), default=None)
     assert index.route(host, path) == expected
 
 
 def test_unchanged_routes_are_not_decoded_again(monkeypatch):
     native = TABLE_FORMATS.get(NATIVE_FORMAT)
-    read = []
+    decoded = []
     first = [route(f"h{i}", "/a/") for i in range(500)]
     reader = TableReader()
-    finish(reader.steps(published(1, first)))
+    run_to_end(reader.steps(published(1, first)))
     usual = native.route
-    monkeypatch.setattr(native, "route", lambda place, w: read.append(w) or usual(place, w))
+    monkeypatch.setattr(native, "route", lambda place, w: decoded.append(w) or usual(place, w))
     changed = [*first[:7], replace(first[7], timeout_s=9.0), *first[8:]]
-    index, steps = finish(reader.steps(published(2, changed)))
-    assert len(read) == 1 and steps >= 5
+    index, steps = run_to_end(reader.steps(published(2, changed)))
+    assert len(decoded) == 1 and steps >= 5
     assert index.route("h7", "/a/").timeout_s == 9.0
