--- a/reachlink/scheduling/tests/test_settings.py
+++ b/reachlink/scheduling/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""What a deployment may ask for."""
+"""Invalid scheduling settings are accepted."""
 
 import msgspec
 import pytest
@@ -8,7 +8,7 @@
 
 @pytest.mark.parametrize("kind", [SchedulingSettings, SchedulingOverrides])
 def test_negative_buffer_size_is_rejected(kind):
-    """It would refuse each body, and count nothing."""
+    """With a negative size, every body would be refused and nothing counted."""
     with pytest.raises(msgspec.ValidationError):
         msgspec.convert({"held_bytes": -1}, kind)
     assert msgspec.convert({"held_bytes": 0}, kind).held_bytes == 0
--- a/reachlink/scheduling/tests/test_start.py
+++ b/reachlink/scheduling/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Where and when a request begins, if at all."""
+"""A request starts, waits or is refused although another decision is due."""
 
 from random import Random
 
@@ -29,7 +29,7 @@
 def test_request_is_refused_if_capacity_is_expected_too_late():
     start = best_start([FULL], NEED, RANDOM, QueueState(40, 148_000, granted_tokens_per_s=3700.0))
     assert isinstance(start, Refuse)
-    # Its place would come in 41 s; no caller keeps to more than a third of its 39 s.
+    # Capacity is expected in 41 s; callers respect no more than a third of their 39 s.
     assert 13.0 * 0.9 <= start.retry_after_s <= 13.0
     assert not start.place_reserved
 
@@ -46,5 +46,5 @@
 
 
 def test_no_request_is_refused_while_a_replica_has_capacity():
-    line = QueueState(40, 148_000, granted_tokens_per_s=3700.0)
-    assert isinstance(best_start([FULL, FREE], NEED, RANDOM, line), Wait)
+    queue = QueueState(40, 148_000, granted_tokens_per_s=3700.0)
+    assert isinstance(best_start([FULL, FREE], NEED, RANDOM, queue), Wait)
