--- a/reachlink/lengths/_estimator.py
+++ b/reachlink/lengths/_estimator.py
@@ -53,6 +53,20 @@
 
 @dataclass(slots=True)
 class _Counts:
+    """Observations of one key, with the survival curve computed from them.
+
+    Attributes
+    ----------
+    reached, ended : array of float, shape (BUCKET_COUNT,)
+        Decayed number of answers that reached each bucket, and that ended in it.
+    observations : int
+        Number of finished answers.
+    curve : SurvivalCurve, optional
+        Survival curve that was last computed.
+    curve_observations : int
+        Value of `observations` when `curve` was computed.
+    """
+
     reached: array[float] = field(default_factory=_zeros)
     ended: array[float] = field(default_factory=_zeros)
     observations: int = 0
--- a/reachlink/limits/_quotas.py
+++ b/reachlink/limits/_quotas.py
@@ -50,6 +50,22 @@
 
 @dataclass(slots=True)
 class _Usage:
+    """Usage by one workspace in one service; times are monotonic, in seconds.
+
+    Attributes
+    ----------
+    running : int
+        Admitted requests that have not ended.
+    demand : float
+        Number of requests that arrived, with exponential decay.
+    demand_at : float
+        Time at which `demand` was last updated.
+    requests, tokens : float
+        Fill levels of the token buckets for requests and for output tokens.
+    refilled_at : float
+        Time at which the token buckets were last refilled.
+    """
+
     running: int = 0
     demand: float = 0.0
     demand_at: float = 0.0
--- a/reachlink/limits/tests/test_limits.py
+++ b/reachlink/limits/tests/test_limits.py
@@ -64,15 +64,15 @@
     assert 95 <= admitted <= 115
 
 
-def make(workspace: str, priority: int = 5, weight: float = 1.0, since: float = 0.0):
-    return FairQueueEntry(object(), workspace, priority, weight, 100.0, since, 1e9)
+def queue_entry(workspace: str, priority: int = 5, weight: float = 1.0, queued_at: float = 0.0):
+    return FairQueueEntry(object(), workspace, priority, weight, 100.0, queued_at, 1e9)
 
 
 def test_a_large_workspace_does_not_starve_a_small_one():
     queue: FairQueue[object] = FairQueue()
     for _ in range(50):
-        queue.push(make("large"))
-    queue.push(make("small"))
+        queue.push(queue_entry("large"))
+    queue.push(queue_entry("small"))
     order = [w.workspace for w in queue.ordered(0.0)]
     assert order.index("small") <= 1
 
@@ -80,18 +80,18 @@
 def test_service_is_shared_by_weight():
     queue: FairQueue[object] = FairQueue()
     for _ in range(60):
-        queue.push(make("heavy", weight=3.0))
-        queue.push(make("light", weight=1.0))
+        queue.push(queue_entry("heavy", weight=3.0))
+        queue.push(queue_entry("light", weight=1.0))
     served = [w.workspace for w in queue.ordered(0.0)][:40]
     assert 28 <= served.count("heavy") <= 32
 
 
 def test_aging_prevents_starvation_of_the_lowest_priority():
     queue: FairQueue[object] = FairQueue()
-    old = make("old", priority=0, since=0.0)
+    old = queue_entry("old", priority=0, queued_at=0.0)
     queue.push(old)
     now = 9 * AGING_S_PER_LEVEL + 0.1
-    queue.push(make("new", priority=9, since=now))
+    queue.push(queue_entry("new", priority=9, queued_at=now))
     assert queue.ordered(now)[0] is old
 
 
--- a/reachlink/pacing/tests/test_backoffs.py
+++ b/reachlink/pacing/tests/test_backoffs.py
@@ -44,7 +44,7 @@
 
 
 def admitted_per_tenth(tracker: BackoffTracker, since: float, delay_s: float) -> list[int]:
-    """Return how many of 100 checks are admitted_per_tenth, for each tenth of a second."""
+    """Return how many of 100 checks are admitted, for each tenth of a second."""
     return [
         sum(tracker.admits(A, since + delay_s + tenth / 10) for _ in range(100))
         for tenth in range(10)
--- a/reachlink/pacing/tests/test_limit_load.py
+++ b/reachlink/pacing/tests/test_limit_load.py
@@ -22,7 +22,7 @@
 SIZES = (7, 65, 195)
 SEEDS = (0, 1)
 # Smallest share of a limit to be used while callers wait.
-USED = 0.8
+MIN_USED_SHARE = 0.8
 
 
 @pytest.mark.parametrize("instances", SIZES)
@@ -39,8 +39,8 @@
 @pytest.mark.parametrize("trouble", [Trouble.NONE, Trouble.START_OF_ALL, Trouble.OWNER_LOST])
 def test_limit_is_used_while_instances_are_connected(instances, seed, trouble):
     load = LimitLoad(instances, trouble=trouble)
-    assert play(load, EqualParts, seed).used < USED
-    assert play(load, HandedOut, seed).used >= USED
+    assert play(load, EqualParts, seed).used < MIN_USED_SHARE
+    assert play(load, HandedOut, seed).used >= MIN_USED_SHARE
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -51,8 +51,8 @@
 
 @pytest.mark.parametrize("instances", SIZES)
 def test_messages_per_permit_do_not_depend_on_the_number_of_instances(instances):
-    """Each call needs one question and its answer.
+    """Each call needs one query and its reply.
 
-    Callers make 10 calls per second here, and some are rejected without a question.
+    Callers make 10 calls per second here, and some are rejected without a query.
     """
     assert play(LimitLoad(instances), HandedOut, 0).messages <= 2 * 3.0 * 3.3 * 1.3
--- a/reachlink/placement/_forecast.py
+++ b/reachlink/placement/_forecast.py
@@ -45,6 +45,8 @@
 
 @dataclass(slots=True, frozen=True)
 class _Score:
+    """Forecast peak as a share of memory, and cost in milliseconds, at one candidate."""
+
     candidate: Candidate
     peak_share: float
     cost_ms: float
