--- a/reachlink/coordination/_asking.py
+++ b/reachlink/coordination/_asking.py
@@ -8,7 +8,7 @@
 
 # Timeout of a placement query in seconds; then the next instance is asked. A reply takes about
 # 3 ms within a zone, and longer from a coordinator that is busy or just starting.
-ANSWER_TIMEOUT_S = 0.15
+REPLY_TIMEOUT_S = 0.15
 # Number of instances that are asked before this one decides by itself.
 MAX_ASKED = 2
 
--- a/reachlink/coordination/_caller_retry_ledger.py
+++ b/reachlink/coordination/_caller_retry_ledger.py
@@ -31,85 +31,85 @@
 
     Attributes
     ----------
-    book : CallerRetryRegistry
+    registry : CallerRetryRegistry
         Reservations for retries.
     """
 
     def __init__(self, clock: Callable[[], float] = steady_time) -> None:
-        self.book = CallerRetryRegistry()
+        self.registry = CallerRetryRegistry()
         self._clock = clock
         self._second = 0
         self._lines_this_second = 0
         self._omitted = 0
         self._log: Any = get_logger()
 
-    def on_arrival(self, question: PlaceQuestion) -> tuple[Need, RetryReservation | None]:
+    def on_arrival(self, query: PlaceQuestion) -> tuple[Need, RetryReservation | None]:
         """Return the need of a request that arrives, and the reservation that it claims.
 
         Parameters
         ----------
-        question : PlaceQuestion
+        query : PlaceQuestion
             First query about the request.
         """
         now = self._clock()
-        need = question.need or Need(tokens=question.tokens)
-        promise = self.book.claim(question.fingerprint, now)
-        if promise is None:
+        need = query.need or Need(tokens=query.tokens)
+        reservation = self.registry.claim(query.fingerprint, now)
+        if reservation is None:
             return need, None
-        need = with_caller_retry(need, promise, now)
+        need = with_caller_retry(need, reservation, now)
         self._log_limited(
             "return_found",
-            request_id=question.request_id,
-            fingerprint=fingerprint_text(question.fingerprint),
-            service=question.service,
+            request_id=query.request_id,
+            fingerprint=fingerprint_text(query.fingerprint),
+            service=query.service,
             age_s=round(need.waited_s, 3),
-            after_due_s=round(now - promise.retry_at, 3),
-            place_kept=promise.place_reserved,
+            after_due_s=round(now - reservation.retry_at, 3),
+            place_kept=reservation.place_reserved,
         )
-        return need, promise
+        return need, reservation
 
     def record_decision(
         self,
-        question: PlaceQuestion,
+        query: PlaceQuestion,
         need: Need,
-        promise: RetryReservation | None,
+        reservation: RetryReservation | None,
         start: Start,
-        line: QueueState,
+        queue_state: QueueState,
     ) -> Start:
         """Record a decision, on arrival or after a wait, and return it as the caller gets it.
 
         Parameters
         ----------
-        question : PlaceQuestion
+        query : PlaceQuestion
             Query about the request.
         need : Need
             Need of the request, as `on_arrival` returned it.
-        promise : RetryReservation or None
+        reservation : RetryReservation or None
             Reservation that the request claimed, as `on_arrival` returned it.
         start : Start
             Decision.
-        line : QueueState
+        queue_state : QueueState
             State of the queue ahead of the request.
         """
-        told = self.book.record_outcome(
-            promise, question.fingerprint, question.service, need, start, self._clock()
+        decision = self.registry.record_outcome(
+            reservation, query.fingerprint, query.service, need, start, self._clock()
         )
-        if isinstance(told, Refuse):
+        if isinstance(decision, Refuse):
             self._log_limited(
                 "refused",
-                request_id=question.request_id,
-                service=question.service,
+                request_id=query.request_id,
+                service=query.service,
                 workspace=need.workspace,
-                reason=told.reason.value,
-                come_back_in_s=round(told.retry_after_s, 3),
-                place_kept=told.place_reserved,
+                reason=decision.reason.value,
+                come_back_in_s=round(decision.retry_after_s, 3),
+                place_kept=decision.place_reserved,
                 returner=need.is_announced_retry,
-                ahead=line.ahead,
-                ahead_tokens=line.ahead_tokens,
-                told_tokens=line.reserved_tokens,
-                drain_tokens_per_s=round(line.granted_tokens_per_s),
+                ahead=queue_state.ahead,
+                ahead_tokens=queue_state.ahead_tokens,
+                told_tokens=queue_state.reserved_tokens,
+                drain_tokens_per_s=round(queue_state.granted_tokens_per_s),
             )
-        return told
+        return decision
 
     def _log_limited(self, event: str, **fields: Any) -> None:
         second = int(self._clock())
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -78,7 +78,7 @@
         Chooses the replica for a request.
     services : callable
         Returns the services that are served by model engines.
-    take_news : callable
+    apply_reports : callable
         Called with the replica reports that a member has read.
     quarantine : QuarantineExchange
         Exchange of crashes between the instances.
@@ -105,7 +105,7 @@
         directory: ReplicaDirectory,
         placing: Placing,
         services: Callable[[], list[Service]],
-        take_news: Callable[[Iterable[ReplicaNews]], None],
+        apply_reports: Callable[[Iterable[ReplicaNews]], None],
         quarantine: QuarantineExchange,
         limits: LimitExchange,
         paces: PaceExchange,
@@ -121,7 +121,7 @@
         self._directory = directory
         self._placing = placing
         self._services = services
-        self._take_news = take_news
+        self._apply_reports = apply_reports
         self._quarantine = quarantine
         self._limits = limits
         self._paces = paces
@@ -134,7 +134,7 @@
         self._news_event = asyncio.Event()
         self._log: Any = get_logger()
         bus.handle(CHANNEL_MEMBER, self._on_update)
-        bus.handle(CHANNEL_PLACE, self._on_question)
+        bus.handle(CHANNEL_PLACE, self._on_query)
         bus.handle(CHANNEL_QUEUE_LEFT, self._on_left)
 
     def set_coordinating(self, coordinates: bool) -> None:
@@ -179,18 +179,18 @@
             self._queue_owner.wake()
 
     async def _on_update(self, sender: str, body: bytes) -> bytes:
-        note = decode(body, MemberUpdate)
-        self._apply_update(note)
-        if note.wait_s <= 0.0:
+        update = decode(body, MemberUpdate)
+        self._apply_update(update)
+        if update.wait_s <= 0.0:
             # One-way update about requests that have started or ended: no reply is expected.
             self._book.touch()
             return b""
         # A member whose update arrives just after the others were notified must not wait for
         # the next news, nor one that knows of crashes that are not known here.
-        behind = self._quarantine.is_behind(note.load.quarantine)
+        behind = self._quarantine.is_behind(update.load.quarantine)
         if not behind and not self._quarantine.has_news:
-            await self._wait_for_news(note.wait_s)
-        return encode(self._snapshot_for(note))
+            await self._wait_for_news(update.wait_s)
+        return encode(self._snapshot_for(update))
 
     async def _wait_for_news(self, wait_s: float) -> None:
         try:
@@ -200,31 +200,31 @@
             # No news in this time: the member gets a regular snapshot.
             return
 
-    def _apply_update(self, note: MemberUpdate) -> None:
+    def _apply_update(self, update: MemberUpdate) -> None:
         now = self._clock()
-        name = note.load.instance
+        name = update.load.instance
         if name not in self._members:
             self._log.info("member_follows", member=name)
         self._members[name] = now
-        self._shared.take(note.load, now)
-        self._take_news(note.load.news)
-        self._quarantine.apply_update(note.load.quarantine)
-        self._limits.apply_updates(note.load.limits)
-        self._paces.apply_from_member(name, note.load.paces)
-        for outcome in note.outcomes:
+        self._shared.take(update.load, now)
+        self._apply_reports(update.load.news)
+        self._quarantine.apply_update(update.load.quarantine)
+        self._limits.apply_updates(update.load.limits)
+        self._paces.apply_from_member(name, update.load.paces)
+        for outcome in update.outcomes:
             self._book.note_outcome(outcome, now, self._random)
         if self._queue_owner is not None:
             self._queue_owner.wake()
 
-    async def _on_question(self, sender: str, body: bytes) -> bytes:
-        question = decode(body, PlaceQuestion)
+    async def _on_query(self, sender: str, body: bytes) -> bytes:
+        query = decode(body, PlaceQuestion)
         # Without a replica list the reply would be that there is no room.
-        insists = question.insist and self._directory.is_whole
-        if not self.ready and not insists:
+        forced = query.insist and self._directory.is_whole
+        if not self.ready and not forced:
             return encode(PlaceAnswer(settled=False))
-        if self._queue_owner is not None and self.ready and question.in_line:
-            return encode(await self._queue_owner.answer(question))
-        return encode(PlaceAnswer(settled=True, replica=self._decide(question)))
+        if self._queue_owner is not None and self.ready and query.in_line:
+            return encode(await self._queue_owner.answer(query))
+        return encode(PlaceAnswer(settled=True, replica=self._decide(query)))
 
     async def _on_left(self, sender: str, body: bytes) -> bytes:
         left = decode(body, QueueLeft)
@@ -232,25 +232,25 @@
             self._queue_owner.leave(left.service, left.request_id)
         return b""
 
-    def _decide(self, question: PlaceQuestion) -> ListedReplica | None:
-        service = next((s for s in self._services() if s.name == question.service), None)
+    def _decide(self, query: PlaceQuestion) -> ListedReplica | None:
+        service = next((s for s in self._services() if s.name == query.service), None)
         if service is None:
             return None
-        replica = self._placing.decide(service, question)
+        replica = self._placing.decide(service, query)
         if replica is None:
             return None
         now = self._clock()
-        self._shared.add(question.instance, question.occupies(replica.name), now)
+        self._shared.add(query.instance, query.occupies(replica.name), now)
         self._book.touch()
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
 
-    def _snapshot_for(self, note: MemberUpdate) -> CoordinatorSnapshot:
-        member = note.load.instance
+    def _snapshot_for(self, update: MemberUpdate) -> CoordinatorSnapshot:
+        member = update.load.instance
         replicas = [r for s in self._services() for r in self._engine_replicas(s.name)]
-        present = {share.replica for share in note.load.shares}
-        told = [r for r in replicas if note.whole or r.name in present]
+        occupied = {share.replica for share in update.load.shares}
+        included = [r for r in replicas if update.whole or r.name in occupied]
         listed = listed_replicas(self._directory, self._clock())
         # Before this instance has read the list, a member may know more replicas than it.
         whole = self._directory.is_whole
@@ -258,18 +258,18 @@
         reach = self._reach()
         return CoordinatorSnapshot(
             coordinator=self._name,
-            shares=self._shares_for(member, told, present),
-            whole=note.whole,
-            news=self._news(replicas, present),
+            shares=self._shares_for(member, included, occupied),
+            whole=update.whole,
+            news=self._reports(replicas, occupied),
             list_digest=digest,
-            listed=listed if whole and digest != note.list_digest else None,
+            listed=listed if whole and digest != update.list_digest else None,
             silent_zones=sorted(reach.silent_zones),
             cut_off=reach.cut_off,
             allowances=self._allowances(),
             cold={r.name: r.cold_s for r in listed if r.cold_s > 0.0},
             quarantine=self._quarantine.make_update(),
             limits=self._limits.updates(),
-            paces=self._paces.updates_for_member(member, new=not note.list_digest),
+            paces=self._paces.updates_for_member(member, new=not update.list_digest),
         )
 
     def _engine_replicas(self, service: str) -> list[Replica]:
@@ -284,7 +284,7 @@
         return staying + [r for r in leaving if r not in staying]
 
     def _shares_for(
-        self, member: str, replicas: list[Replica], present: Set[str]
+        self, member: str, replicas: list[Replica], occupied: Set[str]
     ) -> list[ReplicaShare]:
         """Return the load of all instances but one member at each replica."""
         now = self._clock()
@@ -294,15 +294,15 @@
             share = self._shared.at(replica.name, now, without=member)
             if replica.name in own:
                 share = total([share, own[replica.name]])
-            found.append(share if replica.name in present else shortened(share))
+            found.append(share if replica.name in occupied else shortened(share))
         return found
 
-    def _news(self, replicas: list[Replica], present: Set[str]) -> list[ReplicaNews]:
+    def _reports(self, replicas: list[Replica], occupied: Set[str]) -> list[ReplicaNews]:
         now = self._clock()
         found = []
         for replica in replicas:
             leaves = not self._directory.stays(replica.name)
-            if leaves or replica.name in present:
+            if leaves or replica.name in occupied:
                 news = self._book.state(replica.name).news(now)
                 if news is not None:
                     found.append(news)
--- a/reachlink/coordination/_limit_exchange.py
+++ b/reachlink/coordination/_limit_exchange.py
@@ -23,14 +23,14 @@
 
 # Timeout of a permit query in seconds; a request waits for the reply. Replies take a few
 # milliseconds within a region.
-ANSWER_TIMEOUT_S = 0.1
+REPLY_TIMEOUT_S = 0.1
 # Number of instances that are asked before this one decides alone: the owner and its successor.
 MAX_ASKED = 2
 # Time for which an instance that did not reply is not asked, in seconds.
 RETRY_AFTER_SILENCE_S = 1.0
 # Limits that were advertised longer ago than this are not sent, in seconds: a replica that gets
 # at least one request in ten seconds advertises its limit more often.
-MAX_NOTE_AGE_S = 30.0
+MAX_LIMIT_AGE_S = 30.0
 
 
 class LimitExchange(LimitGate):
@@ -78,7 +78,7 @@
         self._avoided_until: dict[str, float] = {}
         # Share of the limits that this instance granted last.
         self._last_share = 0.0
-        bus.handle(CHANNEL_LIMIT, self._on_question)
+        bus.handle(CHANNEL_LIMIT, self._on_query)
         self._log: Any = get_logger()
 
     def update_roster(self, owners: Iterable[InstanceRecord], instances: int) -> None:
@@ -89,17 +89,17 @@
 
     async def acquire(self, address: str, limit: AdvertisedLimit, options: PermitOptions) -> float:
         """Return the time until one more request may be sent; see `LimitGate`."""
-        question = PermitQuery(
+        query = PermitQuery(
             self._directory.name_at(address) or address,
             limit.requests_per_s,
             self._clock() - limit.advertised_at,
             options.max_wait_s,
             options.background,
         )
-        wait_s = await self._ask_owners(question)
+        wait_s = await self._ask_owners(query)
         if wait_s is None:
             self._count("alone")
-            wait_s = self._sharing.grant_without_owner(question, self._clock())
+            wait_s = self._sharing.grant_without_owner(query, self._clock())
             return _retry_delay_s(wait_s, options.max_wait_s)
         self._count("granted" if wait_s <= options.max_wait_s else "refused")
         return wait_s
@@ -107,70 +107,71 @@
     def updates(self) -> list[LimitUpdate]:
         """Return the limits that the other instances should know."""
         now = self._clock()
-        said: dict[str, tuple[float | None, float]] = {
+        limits: dict[str, tuple[float | None, float]] = {
             address: (None, at) for address, at in self._book.recently_ended().items()
         }
         for address, limit in self._book.all().items():
-            said[address] = (limit.requests_per_s, limit.advertised_at)
+            limits[address] = (limit.requests_per_s, limit.advertised_at)
         return [
             LimitUpdate(name, per_s, round(now - at, 3))
-            for address, (per_s, at) in said.items()
-            if now - at < MAX_NOTE_AGE_S and (name := self._directory.name_at(address))
+            for address, (per_s, at) in limits.items()
+            if now - at < MAX_LIMIT_AGE_S and (name := self._directory.name_at(address))
         ]
 
-    def apply_updates(self, notes: Iterable[LimitUpdate]) -> None:
+    def apply_updates(self, updates: Iterable[LimitUpdate]) -> None:
         """Apply the limits that another instance has sent."""
         now = self._clock()
-        for note in notes:
-            replica = self._directory.find(note.replica)
+        for update in updates:
+            replica = self._directory.find(update.replica)
             if replica is None:
                 continue
-            said_at = now - note.age_s
-            if note.requests_per_s is None:
-                news = self._book.record_absence(replica.address, said_at, now)
+            advertised_at = now - update.age_s
+            if update.requests_per_s is None:
+                is_news = self._book.record_absence(replica.address, advertised_at, now)
             else:
-                news = self._book.record(replica.address, note.requests_per_s, said_at)
-            if news:
+                is_news = self._book.record(replica.address, update.requests_per_s, advertised_at)
+            if is_news:
                 self._log.info(
-                    "limit_told", replica=note.replica, per_s=note.requests_per_s, age_s=note.age_s
+                    "limit_told",
+                    replica=update.replica,
+                    per_s=update.requests_per_s,
+                    age_s=update.age_s,
                 )
 
-    async def _ask_owners(self, question: PermitQuery) -> float | None:
+    async def _ask_owners(self, query: PermitQuery) -> float | None:
         """Return the wait granted by the owner of the limit, or None if no owner is reached."""
-        for name in self._sharing.owners(question.replica)[:MAX_ASKED]:
+        for name in self._sharing.owners(query.replica)[:MAX_ASKED]:
             if name == self._name:
-                answer: PermitReply | None = self._answer(question)
+                answer: PermitReply | None = self._answer(query)
             else:
-                answer = await self._ask(name, question)
+                answer = await self._ask(name, query)
             if answer is not None and answer.is_owner:
                 return answer.wait_s
         return None
 
-    async def _ask(self, name: str, question: PermitQuery) -> PermitReply | None:
+    async def _ask(self, name: str, query: PermitQuery) -> PermitReply | None:
         now = self._clock()
         if self._avoided_until.get(name, now) > now:
             return None
         try:
             raw = await self._bus.call(
-                self._addresses[name], CHANNEL_LIMIT, encode(question), ANSWER_TIMEOUT_S
+                self._addresses[name], CHANNEL_LIMIT, encode(query), REPLY_TIMEOUT_S
             )
             return decode(raw, PermitReply)
         except MessagingError as error:
             self._avoided_until[name] = self._clock() + RETRY_AFTER_SILENCE_S
-            self._log.info(
-                "limit_unanswered", asked=name, replica=question.replica, reason=str(error)
-            )
+            self._log.info("limit_unanswered", asked=name, replica=query.replica, reason=str(error))
             return None
 
-    async def _on_question(self, sender: str, body: bytes) -> bytes:
+    async def _on_query(self, sender: str, body: bytes) -> bytes:
         return encode(self._answer(decode(body, PermitQuery)))
 
-    def _answer(self, question: PermitQuery) -> PermitReply:
+    def _answer(self, query: PermitQuery) -> PermitReply:
         now = self._clock()
-        if not self._sharing.is_owner(question.replica, now):
+        if not self._sharing.is_owner(query.replica, now):
             return PermitReply(is_owner=False)
         self._log_share_change(self._sharing.share(now))
-        return PermitReply(is_owner=True, wait_s=self._sharing.grant(question, now))
+        return PermitReply(is_owner=True, wait_s=self._sharing.grant(query, now))
 
     def _log_share_change(self, share: float) -> None:
         if share != self._last_share:
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -6,7 +6,7 @@
 
 from msgspec import structs
 
-from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
+from reachlink.coordination._asking import REPLY_TIMEOUT_S, ask_in_order
 from reachlink.coordination._coordinator_selector import CoordinatorSelector
 from reachlink.coordination._limit_exchange import LimitExchange
 from reachlink.coordination._messages import (
@@ -71,9 +71,9 @@
         Load of the other instances, updated from the snapshots.
     directory : ReplicaDirectory
         Replicas that exist, updated from the snapshots.
-    take_news : callable
+    apply_reports : callable
         Called with the replica reports in a snapshot.
-    tell_news : callable
+    own_reports : callable
         Returns the replica reports that this instance has read itself.
     quarantine : QuarantineExchange
         Exchange of crashes between the instances.
@@ -95,8 +95,8 @@
         book: ReplicaBook,
         shared: SharedLoad,
         directory: ReplicaDirectory,
-        take_news: Callable[[Iterable[ReplicaNews]], None],
-        tell_news: Callable[[], list[ReplicaNews]],
+        apply_reports: Callable[[Iterable[ReplicaNews]], None],
+        own_reports: Callable[[], list[ReplicaNews]],
         quarantine: QuarantineExchange,
         limits: LimitExchange,
         paces: PaceExchange,
@@ -109,8 +109,8 @@
         self._book = book
         self._shared = shared
         self._directory = directory
-        self._take_news = take_news
-        self._tell_news = tell_news
+        self._apply_reports = apply_reports
+        self._own_reports = own_reports
         self._quarantine = quarantine
         self._limits = limits
         self._paces = paces
@@ -157,39 +157,37 @@
         else:
             self._is_member.clear()
 
-    async def ask(self, question: PlaceQuestion) -> PlaceAnswer | None:
+    async def ask(self, query: PlaceQuestion) -> PlaceAnswer | None:
         """Return the decision of a coordinator; None if this instance should decide itself.
 
         A coordinator that has just started knows little and decides only if no other does.
         """
-        if self._queue_client is not None and question.in_line:
-            return await self._queue_client.ask(structs.replace(question, instance=self._name))
+        if self._queue_client is not None and query.in_line:
+            return await self._queue_client.ask(structs.replace(query, instance=self._name))
         if not self._selector.is_member:
             return None
-        answer = await self._ask_coordinators(structs.replace(question, instance=self._name))
+        answer = await self._ask_coordinators(structs.replace(query, instance=self._name))
         if answer is None:
             self._count("silent")
-            self._log.info("coordinators_silent", request_id=question.request_id)
+            self._log.info("coordinators_silent", request_id=query.request_id)
         else:
             self._count("no_room" if answer.replica is None else "placed")
         return answer
 
-    async def _ask_coordinators(self, question: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_coordinators(self, query: PlaceQuestion) -> PlaceAnswer | None:
         coordinators = self._selector.by_preference(self._clock())
-        answer, not_ready = await ask_in_order(
-            coordinators, lambda one: self._ask_one(one, question)
-        )
+        answer, not_ready = await ask_in_order(coordinators, lambda one: self._ask_one(one, query))
         if not_ready is None:
             return answer
-        answer = await self._ask_one(not_ready, structs.replace(question, insist=True))
+        answer = await self._ask_one(not_ready, structs.replace(query, insist=True))
         return answer if answer is not None and answer.settled else None
 
     async def _ask_one(
-        self, coordinator: InstanceRecord, question: PlaceQuestion
+        self, coordinator: InstanceRecord, query: PlaceQuestion
     ) -> PlaceAnswer | None:
         try:
             raw = await self._bus.call(
-                coordinator.address, CHANNEL_PLACE, encode(question), ANSWER_TIMEOUT_S
+                coordinator.address, CHANNEL_PLACE, encode(query), REPLY_TIMEOUT_S
             )
             return decode(raw, PlaceAnswer)
         except MessagingError as error:
@@ -215,10 +213,10 @@
 
     async def _poll_once(self, coordinator: InstanceRecord) -> None:
         wait_s = self._wait_s(coordinator)
-        note = encode(self._make_update(coordinator.name, wait_s))
+        update = encode(self._make_update(coordinator.name, wait_s))
         try:
             raw = await self._bus.call(
-                coordinator.address, CHANNEL_MEMBER, note, wait_s + WAIT_MARGIN_S
+                coordinator.address, CHANNEL_MEMBER, update, wait_s + WAIT_MARGIN_S
             )
             self._apply_snapshot(decode(raw, CoordinatorSnapshot))
         except MessagingError as error:
@@ -238,15 +236,15 @@
             self._changed.clear()
             if self._selector.is_member:
                 coordinator = self._selector.by_preference(self._clock())[0]
-                note = encode(self._make_update(coordinator.name, 0.0))
-                self._bus.send(coordinator.address, CHANNEL_MEMBER, note)
+                update = encode(self._make_update(coordinator.name, 0.0))
+                self._bus.send(coordinator.address, CHANNEL_MEMBER, update)
             await asyncio.sleep(MIN_SEND_INTERVAL_S)
 
     def _make_update(self, coordinator: str, wait_s: float) -> MemberUpdate:
         load = LoadNote(
             self._name,
             self._book.shares(self._clock()),
-            self._tell_news(),
+            self._own_reports(),
             quarantine=self._quarantine.make_update(),
             limits=self._limits.updates(),
             paces=self._paces.updates_for_coordinator(coordinator),
@@ -273,7 +271,7 @@
             self._directory.update(to_listed_instances(snapshot.listed), now)
         for replica, cold_s in snapshot.cold.items():
             self._directory.note_cold(replica, cold_s, now)
-        self._take_news(snapshot.news)
+        self._apply_reports(snapshot.news)
         self._quarantine.apply_update(snapshot.quarantine)
         self._limits.apply_updates(snapshot.limits)
         self._paces.apply_from_coordinator(snapshot.coordinator, snapshot.paces)
--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -9,7 +9,7 @@
 from reachlink.scheduling import PaceSource, PaceTracker, PaceUpdate, make_pace_update
 
 # Most paces in one message, about 60 B each.
-MAX_NOTES = 16
+MAX_PACES_PER_UPDATE = 16
 # Time after which all paces are sent again, in seconds, as a message may have been lost.
 RESEND_INTERVAL_S = 30.0
 # Most recipients whose progress is kept: well above the number of members of one coordinator.
@@ -70,31 +70,31 @@
 
     def updates_for_coordinator(self, name: str) -> list[PaceUpdate]:
         """Return the changes that this member sends to the coordinator that it follows."""
-        return self._notes(name, OWN_SOURCES)
+        return self._next_updates(name, OWN_SOURCES)
 
     def updates_for_peers(self) -> list[PaceUpdate]:
         """Return the changes that this coordinator sends to the other coordinators."""
-        return self._notes(PEERS_KEY, PEER_SOURCES)
+        return self._next_updates(PEERS_KEY, PEER_SOURCES)
 
     def updates_for_member(self, name: str, new: bool = False) -> list[PaceUpdate]:
         """Return the changes that this coordinator sends to a member, or all paces if it is new."""
         if new:
             self._recipients.pop(name, None)
-        return self._notes(name, ALL_SOURCES)
+        return self._next_updates(name, ALL_SOURCES)
 
-    def apply_from_member(self, name: str, notes: Iterable[PaceUpdate]) -> None:
+    def apply_from_member(self, name: str, updates: Iterable[PaceUpdate]) -> None:
         """Apply the paces that a member has sent."""
-        self._apply(notes, PaceSource.MEMBER, name)
+        self._apply(updates, PaceSource.MEMBER, name)
 
-    def apply_from_coordinator(self, name: str, notes: Iterable[PaceUpdate]) -> None:
+    def apply_from_coordinator(self, name: str, updates: Iterable[PaceUpdate]) -> None:
         """Apply the paces that a coordinator has sent to its members or the other coordinators."""
-        self._apply(notes, PaceSource.COORDINATOR, name)
+        self._apply(updates, PaceSource.COORDINATOR, name)
 
-    def _notes(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceUpdate]:
+    def _next_updates(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceUpdate]:
         now = self._clock()
         known = self._recipient(recipient, now)
         known.sent_up_to, replicas = self._book.changed_since(
-            known.sent_up_to, sources, MAX_NOTES, excluded_sender=recipient
+            known.sent_up_to, sources, MAX_PACES_PER_UPDATE, excluded_sender=recipient
         )
         replicas += self._resent(known, sources, replicas, recipient)
         return [
@@ -106,7 +106,7 @@
         self, known: _Recipient, sources: tuple[PaceSource, ...], news: list[str], recipient: str
     ) -> list[str]:
         """Return the replicas whose paces are sent again; new changes go first."""
-        room = MAX_NOTES - len(news)
+        room = MAX_PACES_PER_UPDATE - len(news)
         if known.resent_up_to is None or not room:
             return []
         known.resent_up_to, replicas = self._book.changed_since(
@@ -128,19 +128,19 @@
             self._recipients.move_to_end(name)
         return found
 
-    def _apply(self, notes: Iterable[PaceUpdate], source: PaceSource, sender: str) -> None:
+    def _apply(self, updates: Iterable[PaceUpdate], source: PaceSource, sender: str) -> None:
         now = self._clock()
-        for note in notes:
-            replica = self._directory.find(note.replica)
-            if replica is None or not self._is_current_lifetime(note, now):
+        for update in updates:
+            replica = self._directory.find(update.replica)
+            if replica is None or not self._is_current_lifetime(update, now):
                 continue
             self._book.record_peer(
-                replica.upstream, note.replica, note.to_peer_pace(now), source, sender, now
+                replica.upstream, update.replica, update.to_peer_pace(now), source, sender, now
             )
 
-    def _is_current_lifetime(self, note: PaceUpdate, now: float) -> bool:
+    def _is_current_lifetime(self, update: PaceUpdate, now: float) -> bool:
         """Return whether an update is about the current lifetime of a replica, noting a new one."""
-        if 0 < note.born < self._directory.born(note.replica):
+        if 0 < update.born < self._directory.born(update.replica):
             return False
-        self._directory.note_born(note.replica, note.born, now)
+        self._directory.note_born(update.replica, update.born, now)
         return True
--- a/reachlink/coordination/_quarantine_exchange.py
+++ b/reachlink/coordination/_quarantine_exchange.py
@@ -20,7 +20,7 @@
 
 # Timeout of a synchronization in seconds: 4,000 crashes are about 120 KB, which take 0.2 s over a
 # link of 5 Mbit/s.
-ANSWER_TIMEOUT_S = 0.5
+REPLY_TIMEOUT_S = 0.5
 # Time for which digests may differ before instances synchronize, in seconds: updates in transit
 # reach all instances in less than a second.
 RESYNC_DELAY_S = 1.0
@@ -79,7 +79,7 @@
         self._resync_delay_s = RESYNC_DELAY_S
         # Whether the digest in an update of another instance was the same.
         self._in_sync = False
-        bus.handle(CHANNEL_QUARANTINE, self._on_question)
+        bus.handle(CHANNEL_QUARANTINE, self._on_query)
         bus.handle(CHANNEL_RELEASE, self._on_release)
         self._log: Any = get_logger()
 
@@ -110,25 +110,25 @@
     @property
     def has_news(self) -> bool:
         """Whether there are crashes or clearances that others may not know yet."""
-        note = self.make_update()
-        return bool(note.crashes or note.clearances)
+        update = self.make_update()
+        return bool(update.crashes or update.clearances)
 
-    def is_behind(self, note: QuarantineNote) -> bool:
+    def is_behind(self, update: QuarantineNote) -> bool:
         """Return whether this instance knows no crashes and the sender of an update knows some."""
-        return note.digest != 0 and self._quarantine.digest() == 0
+        return update.digest != 0 and self._quarantine.digest() == 0
 
-    def apply_update(self, note: QuarantineNote) -> bool:
+    def apply_update(self, update: QuarantineNote) -> bool:
         """Apply an update of another instance; return whether it contained news."""
         now = self._clock()
-        news = self._quarantine.take(note, now)
-        if note.digest == self._quarantine.digest():
+        news = self._quarantine.take(update, now)
+        if update.digest == self._quarantine.digest():
             self._out_of_sync_since = None
             self._resync_delay_s = RESYNC_DELAY_S
             self._in_sync = True
         elif self._out_of_sync_since is None:
             # A sender that knows no crashes has just started: synchronize at once, before it
             # sends requests.
-            self._out_of_sync_since = now if note.digest else now - self._resync_delay_s
+            self._out_of_sync_since = now if update.digest else now - self._resync_delay_s
         return news
 
     async def run(self) -> None:
@@ -163,16 +163,16 @@
         address = self._random.choice(self._peers)
         try:
             known = encode(self._quarantine.everything(self._clock()))
-            raw = await self._bus.call(address, CHANNEL_QUARANTINE, known, ANSWER_TIMEOUT_S)
-            note = decode(raw, QuarantineNote)
+            raw = await self._bus.call(address, CHANNEL_QUARANTINE, known, REPLY_TIMEOUT_S)
+            update = decode(raw, QuarantineNote)
         except MessagingError as error:
             self._log.info("quarantine_unanswered", peer=address, reason=str(error))
             return False
-        self._quarantine.take(note, self._clock())
-        self._log.info("quarantine_learned", peer=address, crashes=len(note.crashes))
+        self._quarantine.take(update, self._clock())
+        self._log.info("quarantine_learned", peer=address, crashes=len(update.crashes))
         return True
 
-    async def _on_question(self, sender: str, body: bytes) -> bytes:
+    async def _on_query(self, sender: str, body: bytes) -> bytes:
         self._quarantine.take(decode(body, QuarantineNote), self._clock())
         return encode(self._quarantine.everything(self._clock()))
 
--- a/reachlink/coordination/_queue_client.py
+++ b/reachlink/coordination/_queue_client.py
@@ -6,7 +6,7 @@
 
 from msgspec import structs
 
-from reachlink.coordination._asking import ANSWER_TIMEOUT_S, ask_in_order
+from reachlink.coordination._asking import REPLY_TIMEOUT_S, ask_in_order
 from reachlink.coordination._coordinator_selector import CoordinatorSelector
 from reachlink.coordination._messages import CHANNEL_PLACE, CHANNEL_QUEUE_LEFT, QueueLeft
 from reachlink.coordination._queue_owner import QueueOwner
@@ -75,40 +75,36 @@
         self._lost_owners: dict[str, asyncio.Event] = {}
         self._log: Any = get_logger()
 
-    async def ask(self, question: PlaceQuestion) -> PlaceAnswer | None:
+    async def ask(self, query: PlaceQuestion) -> PlaceAnswer | None:
         """Return the reply of the queue's owner, or None if this instance should decide.
 
         An owner that has just started does not queue requests and decides only if no other
         owner does. If no owner replies, this instance queues its requests itself.
         """
-        answer = await self._ask_owners(question)
+        answer = await self._ask_owners(query)
         self._count("silent" if answer is None else _outcome_of(answer))
         return answer
 
-    async def _ask_owners(self, question: PlaceQuestion) -> PlaceAnswer | None:
-        owners = self._owners(question.service)
-        answer, not_ready = await ask_in_order(
-            owners, lambda owner: self._ask_owner(owner, question)
-        )
+    async def _ask_owners(self, query: PlaceQuestion) -> PlaceAnswer | None:
+        owners = self._owners(query.service)
+        answer, not_ready = await ask_in_order(owners, lambda owner: self._ask_owner(owner, query))
         if answer is not None:
             return answer
         if not_ready is None:
-            return await self._queue_locally(question)
+            return await self._queue_locally(query)
         if not_ready.name == self._name:
             return None
-        insists = structs.replace(question, insist=True, hold_s=0.0)
-        answer = await self._ask_one(not_ready, insists)
+        forced = structs.replace(query, insist=True, hold_s=0.0)
+        answer = await self._ask_one(not_ready, forced)
         return answer if answer is not None and answer.settled else None
 
-    async def _ask_owner(
-        self, owner: InstanceRecord, question: PlaceQuestion
-    ) -> PlaceAnswer | None:
+    async def _ask_owner(self, owner: InstanceRecord, query: PlaceQuestion) -> PlaceAnswer | None:
         """Return the reply of an owner, which may be this instance itself."""
         if owner.name != self._name:
-            return await self._ask_one(owner, question)
+            return await self._ask_one(owner, query)
         if not self._settled():
             return PlaceAnswer(settled=False)
-        return await self._own.answer_local(question)
+        return await self._own.answer_local(query)
 
     def _owners(self, service: str) -> list[InstanceRecord]:
         now = self._clock()
@@ -116,37 +112,35 @@
             return self._selector.owners(service, now)
         return self._selector.owners_over_zones(service, now, self._silent_zones())
 
-    async def _queue_locally(self, question: PlaceQuestion) -> PlaceAnswer:
-        if not question.hold_s:
-            self._log.info("line_kept_alone", request_id=question.request_id)
-        return await self._own.answer_local(question)
+    async def _queue_locally(self, query: PlaceQuestion) -> PlaceAnswer:
+        if not query.hold_s:
+            self._log.info("line_kept_alone", request_id=query.request_id)
+        return await self._own.answer_local(query)
 
-    async def _ask_one(self, owner: InstanceRecord, question: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_one(self, owner: InstanceRecord, query: PlaceQuestion) -> PlaceAnswer | None:
         try:
-            raw = await self._call(owner, question)
+            raw = await self._call(owner, query)
             return decode(raw, PlaceAnswer)
         except _LostMeanwhileError:
             # The query that found the owner lost has already recorded it.
-            self._send_left(owner, question)
+            self._send_left(owner, query)
             return None
         except MessagingError as error:
             self._note_silence(owner, str(error))
-            self._send_left(owner, question)
+            self._send_left(owner, query)
             return None
         except asyncio.CancelledError:
-            self._send_left(owner, question)
+            self._send_left(owner, query)
             raise
 
-    def _send_left(self, owner: InstanceRecord, question: PlaceQuestion) -> None:
+    def _send_left(self, owner: InstanceRecord, query: PlaceQuestion) -> None:
         """Tell an owner to drop a request: a place granted to it would stay unused."""
-        left = QueueLeft(question.service, question.request_id)
+        left = QueueLeft(query.service, query.request_id)
         self._bus.send(owner.address, CHANNEL_QUEUE_LEFT, encode(left))
 
-    async def _call(self, owner: InstanceRecord, question: PlaceQuestion) -> bytes:
-        hold_s = question.hold_s or 0.0
-        call = self._bus.call(
-            owner.address, CHANNEL_PLACE, encode(question), ANSWER_TIMEOUT_S + hold_s
-        )
+    async def _call(self, owner: InstanceRecord, query: PlaceQuestion) -> bytes:
+        hold_s = query.hold_s or 0.0
+        call = self._bus.call(owner.address, CHANNEL_PLACE, encode(query), REPLY_TIMEOUT_S + hold_s)
         if hold_s <= 0.0:
             return await call
         # Another query may find that the owner is lost before this one times out.
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -7,7 +7,7 @@
 
 from reachlink.coordination._queue_outcomes import QueueOutcomes
 from reachlink.coordination._recent_grants import RecentGrants
-from reachlink.coordination._service_queue import HeldQuestion, ServiceQueue
+from reachlink.coordination._service_queue import HeldQuery, ServiceQueue
 from reachlink.coordination._unfit_cache import constraints_of
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
@@ -27,7 +27,7 @@
 # Most places that are granted in one scan.
 MAX_GRANTS_PER_SCAN = 16
 
-_Candidate = tuple[QueuedRequest, HeldQuestion]
+_Candidate = tuple[QueuedRequest, HeldQuery]
 
 
 class QueueGrants:
@@ -75,18 +75,18 @@
         self._clock = clock
 
     def start_immediately(
-        self, queue: ServiceQueue, service: Service, question: PlaceQuestion, need: Need
+        self, queue: ServiceQueue, service: Service, query: PlaceQuestion, need: Need
     ) -> PlaceAnswer | None:
         """Place a request if the queue is empty and there is room; return None otherwise."""
         if len(queue.requests):
             return None
-        replica = self._start_now(service, question)
+        replica = self._start_now(service, query)
         if replica is None:
             return None
         now = self._clock()
         queue.requests.record_immediate_start(need, now)
         self._outcomes.record_decision(
-            queue, question.request_id, need, Begin(replica.name), EMPTY_QUEUE
+            queue, query.request_id, need, Begin(replica.name), EMPTY_QUEUE
         )
         return PlaceAnswer(settled=True, replica=replica)
 
@@ -98,15 +98,15 @@
                 return
 
     def has_room(
-        self, queue: ServiceQueue, service: Service, question: PlaceQuestion, now: float
+        self, queue: ServiceQueue, service: Service, query: PlaceQuestion, now: float
     ) -> bool:
         """Return whether there is room for a request, regardless of requests ahead of it."""
         queue.unfit.drop_expired(now)
-        if not queue.unfit.may_fit(question):
+        if not queue.unfit.may_fit(query):
             return False
-        if self._placing.has_room(service, question):
+        if self._placing.has_room(service, query):
             return True
-        queue.unfit.add(question)
+        queue.unfit.add(query)
         return False
 
     def _grant_next(self, queue: ServiceQueue, service: Service, now: float) -> bool:
@@ -119,37 +119,37 @@
         smallest = _smallest_by_constraints(candidates)
         # If the smallest request does not fit, none with the same constraints does.
         for _, held in smallest[:MAX_COMPARED]:
-            self.has_room(queue, service, held.question, now)
+            self.has_room(queue, service, held.query, now)
         # First request that does not fit, by the zones that it may go to.
         overtaken: dict[tuple[str, ...] | None, QueuedRequest] = {}
         reserved: frozenset[str] = frozenset()
         compared = 0
         for waiting, held in candidates:
-            if queue.unfit.may_fit(held.question) and compared < MAX_COMPARED:
+            if queue.unfit.may_fit(held.query) and compared < MAX_COMPARED:
                 compared += 1
                 if self._grant(queue, service, waiting, held, now, reserved):
                     _record_overtaken(overtaken, now)
                     return True
-            if held.question.zones not in overtaken:
-                overtaken[held.question.zones] = waiting
+            if held.query.zones not in overtaken:
+                overtaken[held.query.zones] = waiting
                 if waiting.reserves_room(now):
-                    reserved |= self._reserved_replicas(service, held.question)
+                    reserved |= self._reserved_replicas(service, held.query)
         # Requests that were not compared are drawn at random, so that each is compared in time.
-        left = [(waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.question)]
+        left = [(waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.query)]
         for waiting, held in self._random.sample(left, min(MAX_COMPARED, len(left))):
             if self._grant(queue, service, waiting, held, now, reserved):
                 _record_overtaken(overtaken, now)
                 return True
         return False
 
-    def _reserved_replicas(self, service: Service, question: PlaceQuestion) -> frozenset[str]:
+    def _reserved_replicas(self, service: Service, query: PlaceQuestion) -> frozenset[str]:
         """Return the replicas whose room is reserved for a request that may go there."""
         live = self._directory.live(service.name)
-        zones = question.zones
+        zones = query.zones
         return frozenset(
             replica.name
             for replica in live
-            if replica.name not in question.excluded
+            if replica.name not in query.excluded
             and (zones is None or replica.availability_zone in zones)
         )
 
@@ -158,18 +158,18 @@
         queue: ServiceQueue,
         service: Service,
         waiting: QueuedRequest,
-        held: HeldQuestion,
+        held: HeldQuery,
         now: float,
         reserved: frozenset[str],
     ) -> bool:
-        excluded = (*held.question.excluded, *reserved)
-        start = self._placing.start(service, structs.replace(held.question, excluded=excluded))
+        excluded = (*held.query.excluded, *reserved)
+        start = self._placing.start(service, structs.replace(held.query, excluded=excluded))
         if not isinstance(start, Begin):
-            queue.unfit.add(held.question)
+            queue.unfit.add(held.query)
             return False
-        replica = self.record_grant(queue, waiting, held.question, start.replica, now)
+        replica = self.record_grant(queue, waiting, held.query, start.replica, now)
         if replica is None:
-            queue.unfit.add(held.question)
+            queue.unfit.add(held.query)
             return False
         queue.answer(waiting.request_id, PlaceAnswer(settled=True, replica=replica))
         return True
@@ -178,12 +178,12 @@
         self,
         queue: ServiceQueue,
         waiting: QueuedRequest,
-        question: PlaceQuestion,
+        query: PlaceQuestion,
         name: str,
         now: float,
     ) -> ListedReplica | None:
         """Record the grant of a place to a queued request, and return the replica."""
-        replica = self._reserve(question, name)
+        replica = self._reserve(query, name)
         if replica is None:
             return None
         state = QueueState(len(queue.requests) - 1, 0, queue.requests.granted_tokens_per_s(now))
@@ -191,20 +191,20 @@
         self._outcomes.record_granted(queue, waiting, replica.name, state, now)
         return replica
 
-    def _start_now(self, service: Service, question: PlaceQuestion) -> ListedReplica | None:
+    def _start_now(self, service: Service, query: PlaceQuestion) -> ListedReplica | None:
         """Return the replica where a request starts now and add its load; None without room."""
-        start = self._placing.start(service, question)
-        return self._reserve(question, start.replica) if isinstance(start, Begin) else None
+        start = self._placing.start(service, query)
+        return self._reserve(query, start.replica) if isinstance(start, Begin) else None
 
-    def _reserve(self, question: PlaceQuestion, name: str) -> ListedReplica | None:
+    def _reserve(self, query: PlaceQuestion, name: str) -> ListedReplica | None:
         replica = self._directory.find(name)
         if replica is None:
             return None
-        if question.instance != self._name:
-            self._recent_grants.add(question.instance, question.occupies(name))
+        if query.instance != self._name:
+            self._recent_grants.add(query.instance, query.occupies(name))
             self._book.touch()
         else:
-            self._shared.add(self._name, question.occupies(name), self._clock())
+            self._shared.add(self._name, query.occupies(name), self._clock())
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
@@ -214,9 +214,9 @@
     """Return the request that needs least memory for each set of constraints."""
     found: dict[object, _Candidate] = {}
     for waiting, held in candidates:
-        constraints = constraints_of(held.question)
+        constraints = constraints_of(held.query)
         before = found.get(constraints)
-        if before is None or held.question.tokens < before[1].question.tokens:
+        if before is None or held.query.tokens < before[1].query.tokens:
             found[constraints] = waiting, held
     return list(found.values())
 
--- a/reachlink/coordination/_queue_outcomes.py
+++ b/reachlink/coordination/_queue_outcomes.py
@@ -49,20 +49,20 @@
     @property
     def caller_retry_counts(self) -> CallerRetryCounts:
         """Outcomes of the requests that were refused here and of their retries."""
-        return self._ledger.book.counts
+        return self._ledger.registry.counts
 
     def reserved_tokens(self, service: str, now: float) -> int:
         """Return the memory reserved for announced retries at a service, in tokens."""
-        return self._ledger.book.reserved_tokens(service, now)
+        return self._ledger.registry.reserved_tokens(service, now)
 
     def record_arrival(
-        self, queue: ServiceQueue, question: PlaceQuestion
+        self, queue: ServiceQueue, query: PlaceQuestion
     ) -> tuple[PlaceQuestion, Need]:
         """Record the first query about a request; return it and the need, with its reservation."""
-        need, promise = self._ledger.on_arrival(question)
-        question = structs.replace(question, need=need)
-        queue.arrivals[question.request_id] = question, promise
-        return question, need
+        need, reservation = self._ledger.on_arrival(query)
+        query = structs.replace(query, need=need)
+        queue.arrivals[query.request_id] = query, reservation
+        return query, need
 
     def record_decision(
         self,
@@ -70,14 +70,14 @@
         request_id: str,
         need: Need,
         start: Begin | Refuse,
-        line: QueueState,
+        queue_state: QueueState,
     ) -> Refuse | None:
         """Record the decision about a request; return the refusal that its caller gets, if any."""
         arrived = queue.arrivals.pop(request_id, None)
         if arrived is None:
             return start if isinstance(start, Refuse) else None
-        question, promise = arrived
-        told = self._ledger.record_decision(question, need, promise, start, line)
+        query, reservation = arrived
+        told = self._ledger.record_decision(query, need, reservation, start, queue_state)
         return told if isinstance(told, Refuse) else None
 
     def refuse(
@@ -134,9 +134,9 @@
 
     def record_left(self, queue: ServiceQueue, waiting: QueuedRequest, reason: str) -> None:
         """Record that a request has left the queue without a place, and why."""
-        _, promise = queue.arrivals.pop(waiting.request_id, (None, None))
-        if reason == "lease" and promise is not None:
-            self._ledger.book.restore(promise, self._clock())
+        _, reservation = queue.arrivals.pop(waiting.request_id, (None, None))
+        if reason == "lease" and reservation is not None:
+            self._ledger.registry.restore(reservation, self._clock())
         if reason in ("gone", "lease"):
             self._count(queue.service, "left")
         self._log.info(
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -15,7 +15,7 @@
 
 from reachlink.coordination._queue_grants import QueueGrants
 from reachlink.coordination._queue_outcomes import QueueOutcomes
-from reachlink.coordination._service_queue import HeldQuestion, ServiceQueue
+from reachlink.coordination._service_queue import HeldQuery, ServiceQueue
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
@@ -128,30 +128,30 @@
         if self._scan_task is not None:
             self._changed.set()
 
-    async def answer(self, question: PlaceQuestion) -> PlaceAnswer:
+    async def answer(self, query: PlaceQuestion) -> PlaceAnswer:
         """Return the placement of a request, held until there is room or its hold time is over.
 
         Parameters
         ----------
-        question : PlacementQuery
+        query : PlacementQuery
             Query with `hold_s` and `need`.
         """
-        service = self._service(question.service)
-        need = question.need
+        service = self._service(query.service)
+        need = query.need
         if service is None or need is None or not _fits_empty_replica(service, need):
             return PlaceAnswer(settled=True)
         queue = self._queues.setdefault(service.name, ServiceQueue(service.name))
-        if queue.requests.find(question.request_id) is None:
-            question, need = self._outcomes.record_arrival(queue, question)
-        begun = self._grants.start_immediately(queue, service, question, need)
-        return begun or await self._enqueue(queue, service, question, need)
+        if queue.requests.find(query.request_id) is None:
+            query, need = self._outcomes.record_arrival(queue, query)
+        begun = self._grants.start_immediately(queue, service, query, need)
+        return begun or await self._enqueue(queue, service, query, need)
 
-    async def answer_local(self, question: PlaceQuestion) -> PlaceAnswer:
+    async def answer_local(self, query: PlaceQuestion) -> PlaceAnswer:
         """Return the placement of a request of this instance; see `answer`."""
         try:
-            answer = await self.answer(structs.replace(question, instance=self._name))
+            answer = await self.answer(structs.replace(query, instance=self._name))
         except asyncio.CancelledError:
-            self.leave(question.service, question.request_id)
+            self.leave(query.service, query.request_id)
             raise
         # From here on the allocation of the request counts instead of the grant.
         self._shared.forget(self._name)
@@ -171,19 +171,19 @@
         return next((s for s in self._services() if s.name == name), None)
 
     async def _enqueue(
-        self, queue: ServiceQueue, service: Service, question: PlaceQuestion, need: Need
+        self, queue: ServiceQueue, service: Service, query: PlaceQuestion, need: Need
     ) -> PlaceAnswer:
         now = self._clock()
-        hold_s = min(question.hold_s or 0.0, MAX_HOLD_S)
-        known = queue.requests.find(question.request_id) is not None
+        hold_s = min(query.hold_s or 0.0, MAX_HOLD_S)
+        known = queue.requests.find(query.request_id) is not None
         lease_s = hold_s + LEASE_MARGIN_S
-        waiting = queue.requests.join(question.request_id, question.instance, need, now, lease_s)
+        waiting = queue.requests.join(query.request_id, query.instance, need, now, lease_s)
         self._shed_excess(queue, now)
-        if queue.requests.find(question.request_id) is None:
+        if queue.requests.find(query.request_id) is None:
             return self._outcomes.refuse(queue, waiting, RefusalReason.LINE_FULL, now)
-        start = self._forecast(queue, service, question, waiting, now)
+        start = self._forecast(queue, service, query, waiting, now)
         if isinstance(start, Begin):
-            replica = self._grants.record_grant(queue, waiting, question, start.replica, now)
+            replica = self._grants.record_grant(queue, waiting, query, start.replica, now)
             if replica is not None:
                 return PlaceAnswer(settled=True, replica=replica)
         if isinstance(start, Refuse) and (not known or self._is_hopeless(queue, waiting, now)):
@@ -195,13 +195,13 @@
         self._start_scanning()
         if hold_s <= 0.0:
             return self._wait_answer(queue, waiting, now)
-        return await self._hold(queue, question, waiting, hold_s)
+        return await self._hold(queue, query, waiting, hold_s)
 
     def _forecast(
         self,
         queue: ServiceQueue,
         service: Service,
-        question: PlaceQuestion,
+        query: PlaceQuestion,
         waiting: QueuedRequest,
         now: float,
     ) -> Start:
@@ -209,7 +209,7 @@
         state = queue.requests.state_ahead_of(waiting, now)
         told = self._outcomes.reserved_tokens(queue.service, now)
         state = replace(state, reserved_tokens=told)
-        asked = structs.replace(question, need=waiting.need_at(now))
+        asked = structs.replace(query, need=waiting.need_at(now))
         start = self._placing.start(service, asked, state)
         refused = isinstance(start, Refuse) and state.ahead > 0
         if refused and self._grants.has_room(queue, service, asked, now):
@@ -224,19 +224,19 @@
         )
 
     async def _hold(
-        self, queue: ServiceQueue, question: PlaceQuestion, waiting: QueuedRequest, hold_s: float
+        self, queue: ServiceQueue, query: PlaceQuestion, waiting: QueuedRequest, hold_s: float
     ) -> PlaceAnswer:
         """Return the reply once there is one, or after the hold time that the request waits."""
         # An earlier query about the request has timed out at its sender: end it first.
-        queue.answer_without_place(question.request_id, Wait(0.0))
+        queue.answer_without_place(query.request_id, Wait(0.0))
         future: asyncio.Future[PlaceAnswer] = asyncio.get_running_loop().create_future()
-        held = HeldQuestion(question, self._clock() + hold_s, future)
-        queue.held_queries[question.request_id] = held
+        held = HeldQuery(query, self._clock() + hold_s, future)
+        queue.held_queries[query.request_id] = held
         try:
             await asyncio.wait({future}, timeout=hold_s)
         finally:
-            if queue.held_queries.get(question.request_id) is held:
-                del queue.held_queries[question.request_id]
+            if queue.held_queries.get(query.request_id) is held:
+                del queue.held_queries[query.request_id]
         return (
             future.result() if future.done() else self._wait_answer(queue, waiting, self._clock())
         )
--- a/reachlink/coordination/_service_queue.py
+++ b/reachlink/coordination/_service_queue.py
@@ -9,12 +9,12 @@
 
 
 @dataclass(slots=True, eq=False)
-class HeldQuestion:
+class HeldQuery:
     """A placement query whose reply is held until there is room.
 
     Attributes
     ----------
-    question : PlacementQuery
+    query : PlacementQuery
         The query.
     until : float
         Monotonic time in seconds until which the asking instance waits for the reply.
@@ -22,7 +22,7 @@
         Future that receives the reply.
     """
 
-    question: PlaceQuestion
+    query: PlaceQuestion
     until: float
     answer: asyncio.Future[PlaceAnswer]
 
@@ -37,7 +37,7 @@
         Name of the service.
     requests : RequestQueue
         Requests that wait for room.
-    held_queries : dict of str to HeldQuestion
+    held_queries : dict of str to HeldQuery
         Queries whose replies are held, by request id.
     arrivals : dict of str to tuple
         First query about each request that is neither started nor refused yet, and the
@@ -48,7 +48,7 @@
 
     service: str
     requests: RequestQueue = field(default_factory=RequestQueue)
-    held_queries: dict[str, HeldQuestion] = field(default_factory=dict)
+    held_queries: dict[str, HeldQuery] = field(default_factory=dict)
     arrivals: dict[str, tuple[PlaceQuestion, RetryReservation | None]] = field(default_factory=dict)
     unfit: UnfitCache = field(default_factory=UnfitCache)
 
--- a/reachlink/coordination/_unfit_cache.py
+++ b/reachlink/coordination/_unfit_cache.py
@@ -25,17 +25,17 @@
         if now - self._since > UNFIT_KEPT_S:
             self.clear(now)
 
-    def may_fit(self, question: PlaceQuestion) -> bool:
+    def may_fit(self, query: PlaceQuestion) -> bool:
         """Return whether a request needs less memory than those that found no room."""
-        unfit = self._unfit.get(constraints_of(question))
-        return unfit is None or question.tokens < unfit
+        unfit = self._unfit.get(constraints_of(query))
+        return unfit is None or query.tokens < unfit
 
-    def add(self, question: PlaceQuestion) -> None:
+    def add(self, query: PlaceQuestion) -> None:
         """Record that a request has found no room."""
-        if self.may_fit(question):
-            self._unfit[constraints_of(question)] = question.tokens
+        if self.may_fit(query):
+            self._unfit[constraints_of(query)] = query.tokens
 
 
-def constraints_of(question: PlaceQuestion) -> _Constraints:
+def constraints_of(query: PlaceQuestion) -> _Constraints:
     """Return the constraints that determine which replicas a request may go to."""
-    return frozenset(question.excluded), question.zones, question.calm_only
+    return frozenset(query.excluded), query.zones, query.calm_only
--- a/reachlink/coordination/tests/test_caller_retry_ledger.py
+++ b/reachlink/coordination/tests/test_caller_retry_ledger.py
@@ -49,7 +49,7 @@
         need, start = ask(ledger, "id-2", Begin("r1"))
     assert start == Begin("r1")
     assert need.is_announced_retry and need.waited_s == pytest.approx(3.1)
-    assert ledger.book.counts.kept == 1
+    assert ledger.registry.counts.kept == 1
     refused, found = logs
     assert (refused["event"], refused["reason"], refused["ahead"]) == ("refused", "over_share", 7)
     assert (refused["come_back_in_s"], refused["drain_tokens_per_s"]) == (3.0, 10_000)
@@ -73,4 +73,4 @@
         ask(ledger, "id-last", REFUSED, fingerprint=9999)
     assert len(logs) == most + 1
     assert logs[-1]["left_out"] == 5
-    assert ledger.book.counts.refused[RefusalReason.OVER_SHARE] == most + 6
+    assert ledger.registry.counts.refused[RefusalReason.OVER_SHARE] == most + 6
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -137,7 +137,7 @@
 
 def test_old_limit_is_not_sent(fleet):
     one = fleet[0]
-    one.network.now += exchange.MAX_NOTE_AGE_S
+    one.network.now += exchange.MAX_LIMIT_AGE_S
     assert one.limits.updates() == []
 
 
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -5,7 +5,11 @@
 import pytest
 
 from reachlink.coordination import CoordinatorSnapshot
-from reachlink.coordination._pace_exchange import MAX_NOTES, MAX_RECIPIENTS, RESEND_INTERVAL_S
+from reachlink.coordination._pace_exchange import (
+    MAX_PACES_PER_UPDATE,
+    MAX_RECIPIENTS,
+    RESEND_INTERVAL_S,
+)
 from reachlink.coordination.tests.world import REPLICAS, Instance, Network, make_fleet
 from reachlink.membership import ListedInstance
 from reachlink.messaging import decode, encode
@@ -152,13 +156,15 @@
 
 
 def test_update_has_bounded_number_of_paces_and_next_one_continues():
-    replicas = [ListedInstance(f"r{n}", SERVICE, "a", f"r{n}:1") for n in range(MAX_NOTES + 5)]
+    replicas = [
+        ListedInstance(f"r{n}", SERVICE, "a", f"r{n}:1") for n in range(MAX_PACES_PER_UPDATE + 5)
+    ]
     c1 = single_coordinator(*replicas)
     for replica in replicas:
         report_pace(c1, replica.name, 1.2)
     first, second, third = (c1.paces.updates_for_peers() for _ in range(3))
-    assert (len(first), len(second), len(third)) == (MAX_NOTES, 5, 0)
-    assert len({note.replica for note in first + second}) == MAX_NOTES + 5
+    assert (len(first), len(second), len(third)) == (MAX_PACES_PER_UPDATE, 5, 0)
+    assert len({note.replica for note in first + second}) == MAX_PACES_PER_UPDATE + 5
     assert len(encode(first[0])) < 20
 
 
@@ -198,7 +204,7 @@
         c1.network.now += every_s
         return [note.replica for note in c1.paces.updates_for_member("m1")]
 
-    first = [name for _ in range(replicas // MAX_NOTES + 1) for name in notes()]
+    first = [name for _ in range(replicas // MAX_PACES_PER_UPDATE + 1) for name in notes()]
     assert set(first) == {replica.name for replica in listed}
     for number in range(5):
         # Changes while all paces are being sent again, and between two such resends.
@@ -208,6 +214,6 @@
         report_pace(c1, f"r{number}", 2.4)
         assert f"r{number}" in notes()
     told: set[str] = set()
-    for _ in range(replicas // MAX_NOTES + 1 + int(RESEND_INTERVAL_S / every_s)):
+    for _ in range(replicas // MAX_PACES_PER_UPDATE + 1 + int(RESEND_INTERVAL_S / every_s)):
         told.update(notes())
     assert told == {replica.name for replica in listed}
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -7,7 +7,7 @@
 import pytest
 from structlog.testing import capture_logs
 
-from reachlink.coordination._asking import ANSWER_TIMEOUT_S
+from reachlink.coordination._asking import REPLY_TIMEOUT_S
 from reachlink.coordination.tests.world import SERVICE, Instance, make_fleet
 from reachlink.requests import CallerRequest, LoadNote, RequestFailedError
 from reachlink.requests._line_placing import LinePlacing
@@ -30,7 +30,7 @@
 TICK_S = 0.005
 # Longest time in seconds until a member's request is queued at another owner and scanned: the
 # timeout of the held query, the query to the next owner, and the time to its next scan.
-MAX_FAILOVER_S = 0.5 + 2 * ANSWER_TIMEOUT_S + 0.1
+MAX_FAILOVER_S = 0.5 + 2 * REPLY_TIMEOUT_S + 0.1
 
 
 @dataclass
@@ -184,7 +184,7 @@
         sim.network.silent.add(sim.owner.record.name)
         with capture_logs() as logs:
             sim.ask(member, "new", tokens=3_500)
-            await asyncio.sleep(ANSWER_TIMEOUT_S + 0.1)
+            await asyncio.sleep(REPLY_TIMEOUT_S + 0.1)
         assert [line["event"] for line in logs].count("line_owner_silent") == 1
         sim.make_room()
         assert await sim.all_done(20.0)
--- a/reachlink/coordination/tests/test_queue_refusals.py
+++ b/reachlink/coordination/tests/test_queue_refusals.py
@@ -86,7 +86,7 @@
         queue_owner = sim.owner.queue_owner
         assert queue_owner is not None
         assert tried.need is not None
-        queue_owner._outcomes._ledger.book.reserve(
+        queue_owner._outcomes._ledger.registry.reserve(
             7, "chat", tried.need, Refuse(0.1, place_reserved=True), sim.network.now
         )
         await asyncio.sleep(0.15)
