--- a/reachlink/entry/_dispatcher.py
+++ b/reachlink/entry/_dispatcher.py
@@ -14,7 +14,7 @@
 from reachlink.entry._ledger import InFlight
 from reachlink.entry.exceptions import RequestError
 from reachlink.lengths import LengthKey
-from reachlink.limits import DrainRate, FairQueue, FairQueueEntry
+from reachlink.limits import FairQueue, FairQueueEntry, QueueThroughput
 from reachlink.pacing import Hold, HoldReason
 from reachlink.placement import (
     UNLIMITED,
@@ -124,7 +124,7 @@
         self._random = random
         self._clock = clock
         self._queue: FairQueue[_Pending] = FairQueue()
-        self._drain = DrainRate()
+        self._throughput = QueueThroughput()
         self._timer: asyncio.TimerHandle | None = None
 
     @property
@@ -159,13 +159,13 @@
         now = self._clock()
         for waiting in self._queue.expired(now):
             _refuse(waiting.item, self._overloaded("no replica had room in time"))
-        self._drain.on_busy(now)
+        self._throughput.on_busy(now)
         skipped = 0
         for waiting in self._queue.ordered(now):
             decision = self._try(waiting.item.ticket)
             if decision.verdict is Verdict.PLACE:
                 self._queue.take(waiting)
-                self._drain.on_drained(now)
+                self._throughput.on_served(now)
                 _resolve(waiting.item, decision)
                 continue
             if decision.verdict is Verdict.NONE_ALIVE:
@@ -175,11 +175,11 @@
             if skipped >= LOOK_AHEAD:
                 break
         if not len(self._queue):
-            self._drain.on_idle(now)
+            self._throughput.on_idle(now)
 
     def expected_wait_s(self, position: int) -> float:
         """Return how long a request at a position in the queue will wait."""
-        return self._drain.expected_wait_s(position, self._clock())
+        return self._throughput.expected_wait_s(position, self._clock())
 
     def _check_pending(self, waiting: FairQueueEntry[_Pending]) -> None:
         """Refuse a waiting request that no replica will take in time."""
@@ -227,7 +227,7 @@
             ticket.deadline,
         )
         self._queue.push(waiting)
-        self._drain.on_busy(now)
+        self._throughput.on_busy(now)
         self._check_wait(waiting, now)
         return waiting
 
--- a/reachlink/limits/__init__.py
+++ b/reachlink/limits/__init__.py
@@ -8,15 +8,15 @@
     CallerBuffer,
 )
 from reachlink.limits._bytes_in_flight import BytesInFlight
-from reachlink.limits._drain_rate import DrainRate
 from reachlink.limits._fair_queue import FairQueue, FairQueueEntry
+from reachlink.limits._queue_throughput import QueueThroughput
 from reachlink.limits._quotas import QuotaLimits, QuotaTracker, Refusal, RefusalReason, fair_share
 from reachlink.limits._retries import RetryBudget, backoff_s
 
 __all__ = [
     "MAX_SHORT_BYTES",
     "UNDECLARED_BYTES",
-    "DrainRate",
+    "QueueThroughput",
     "FairQueue",
     "BufferBudget",
     "BufferKind",
--- a/reachlink/limits/_drain_rate.py
+++ b/reachlink/limits/_queue_throughput.py
@@ -1,4 +1,4 @@
-"""Estimates how fast a queue drains, from the time while it is not empty; pure.
+"""Estimates the throughput of a queue from the time while it is not empty; pure.
 
 Only busy time counts: the rate at which requests pass through an empty queue is their arrival
 rate and does not tell how fast queued requests are served.
@@ -11,12 +11,12 @@
 
 
 @dataclass(slots=True)
-class DrainRate:
+class QueueThroughput:
     """Exponentially decaying rate of requests served from a queue.
 
     Attributes
     ----------
-    drained : float
+    served : float
         Decayed number of requests served.
     busy_s : float
         Decayed time in seconds during which the queue was not empty.
@@ -25,7 +25,7 @@
         the queue is empty.
     """
 
-    drained: float = 0.0
+    served: float = 0.0
     busy_s: float = 0.0
     updated_at: float | None = None
 
@@ -41,9 +41,9 @@
             self._advance(now - self.updated_at)
         self.updated_at = None
 
-    def on_drained(self, now: float) -> None:
+    def on_served(self, now: float) -> None:
         """Record that a queued request was served."""
-        self.drained += 1.0
+        self.served += 1.0
 
     def expected_wait_s(self, position: int, now: float) -> float:
         """Return the expected wait in seconds of a request at a queue position, counted from 1.
@@ -55,9 +55,9 @@
         if busy <= 0.0:
             return 0.0
         # Adds one to the observed count: a queue that has just filled is not considered stuck yet.
-        return position * busy / (self.drained + 1.0)
+        return position * busy / (self.served + 1.0)
 
     def _advance(self, elapsed_s: float) -> None:
         decay = 0.5 ** (elapsed_s / HALF_LIFE_S)
-        self.drained *= decay
+        self.served *= decay
         self.busy_s = self.busy_s * decay + elapsed_s
