--- a/reachlink/limits/_quotas.py
+++ b/reachlink/limits/_quotas.py
@@ -1,10 +1,10 @@
 """Limits of workspaces, shared among entry instances by demand; pure.
 
-Each instance reports to the others, in its periodic digest, how much of each limited
-workspace's traffic it receives. An instance's share of a limit is its part of the total demand,
-with a small minimum for an instance that receives no traffic yet. All instances compute
-the same shares from the same demands. The shares are inconsistent while a digest is in transit,
-which bounds the error: see ``docs/design/limits.md``.
+Each instance sends the others, in its periodic digest, how much of each limited workspace's
+traffic it receives. An instance's share of a limit is its part of the total demand, with a
+small minimum for an instance that receives no traffic yet. All instances compute the same
+shares from the same demands. The shares are inconsistent while a digest is in transit, which
+bounds the error: see ``docs/design/limits.md``.
 """
 
 from collections.abc import Mapping
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -172,7 +172,7 @@
         return limiter.take(now, query.max_wait_s, query.background)
 
     def _latest_rate(self, query: PermitQuery, now: float) -> float:
-        """Return the replica's most recent limit among those that any query reported."""
+        """Return the replica's most recent limit, of those that queries have stated."""
         advertised_at, requests_per_s = self._advertised.get(query.replica, (float("-inf"), 0.0))
         if now - query.age_s >= advertised_at:
             advertised_at, requests_per_s = now - query.age_s, query.requests_per_s
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -143,7 +143,7 @@
     assert health.allowance(recovering_at) == 0.0
 
 
-def test_own_and_reported_ejections_are_bounded_together():
+def test_own_and_peer_ejections_are_bounded_together():
     healths = {name: Health() for name in ("r1", "r2", "r3")}
     for _ in range(2):
         healths["r1"].on_failure(0.0, Random(1))
