--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -92,29 +92,33 @@
 
     def _next_updates(self, recipient: str, sources: tuple[PaceSource, ...]) -> list[PaceUpdate]:
         now = self._clock()
-        known = self._recipient(recipient, now)
-        known.sent_up_to, replicas = self._book.changed_since(
-            known.sent_up_to, sources, MAX_PACES_PER_UPDATE, excluded_sender=recipient
+        progress = self._recipient(recipient, now)
+        progress.sent_up_to, replicas = self._book.changed_since(
+            progress.sent_up_to, sources, MAX_PACES_PER_UPDATE, excluded_sender=recipient
         )
-        replicas += self._resent(known, sources, replicas, recipient)
+        replicas += self._resent(progress, sources, replicas, recipient)
         return [
             make_pace_update(name, self._book.observed(name, now), self._directory.born(name))
             for name in replicas
         ]
 
     def _resent(
-        self, known: _Recipient, sources: tuple[PaceSource, ...], news: list[str], recipient: str
+        self,
+        progress: _Recipient,
+        sources: tuple[PaceSource, ...],
+        changed: list[str],
+        recipient: str,
     ) -> list[str]:
         """Return the replicas whose paces are sent again; new changes go first."""
-        room = MAX_PACES_PER_UPDATE - len(news)
-        if known.resent_up_to is None or not room:
+        left = MAX_PACES_PER_UPDATE - len(changed)
+        if progress.resent_up_to is None or not left:
             return []
-        known.resent_up_to, replicas = self._book.changed_since(
-            known.resent_up_to, sources, room, excluded_sender=recipient
+        progress.resent_up_to, replicas = self._book.changed_since(
+            progress.resent_up_to, sources, left, excluded_sender=recipient
         )
-        if known.resent_up_to >= known.sent_up_to:
-            known.resent_up_to = None
-        return [name for name in replicas if name not in news]
+        if progress.resent_up_to >= progress.sent_up_to:
+            progress.resent_up_to = None
+        return [name for name in replicas if name not in changed]
 
     def _recipient(self, name: str, now: float) -> _Recipient:
         found = self._recipients.get(name)
--- a/reachlink/coordination/_queue_client.py
+++ b/reachlink/coordination/_queue_client.py
@@ -17,8 +17,8 @@
 from reachlink.scheduling import Refuse, Wait
 from reachlink.telemetry import get_logger
 
-# Most owners for which queries wait to learn that the owner is lost, about 200 B each: more than
-# a zone has coordinators.
+# Most owners for which an event is kept that ends held queries if the owner is lost, about 200 B
+# each: more than a zone has coordinators.
 MAX_TRACKED_OWNERS = 64
 
 
@@ -39,7 +39,7 @@
         Message bus to the owners.
     own : QueueOwner
         Queues that this instance owns, also used if no owner can be reached.
-    settled : callable
+    is_ready : callable
         Returns whether this instance is a coordinator that is ready to decide.
     count : callable
         Called with the outcome of each query: ``"placed"``, ``"waits"``, ``"refused"``,
@@ -57,7 +57,7 @@
         name: str,
         bus: Bus,
         own: QueueOwner,
-        settled: Callable[[], bool],
+        is_ready: Callable[[], bool],
         count: Callable[[str], None],
         silent_zones: Callable[[], Set[str]] | None = None,
         clock: Callable[[], float] = steady_time,
@@ -66,7 +66,7 @@
         self._name = name
         self._bus = bus
         self._own = own
-        self._settled = settled
+        self._is_ready = is_ready
         self._count = count
         self._silent_zones = silent_zones
         self._clock = clock
@@ -102,7 +102,7 @@
         """Return the reply of an owner, which may be this instance itself."""
         if owner.name != self._name:
             return await self._ask_one(owner, query)
-        if not self._settled():
+        if not self._is_ready():
             return PlaceAnswer(settled=False)
         return await self._own.answer_local(query)
 
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -110,9 +110,9 @@
     network.now += 1.0
     other.pacing.limits.record(ADDRESS, 5.0, network.now)
     network.now += 0.5
-    for told in (one, third):
-        told.limits.apply_updates(other.limits.updates())
-        limit = told.pacing.limits.get(ADDRESS)
+    for receiver in (one, third):
+        receiver.limits.apply_updates(other.limits.updates())
+        limit = receiver.pacing.limits.get(ADDRESS)
         assert (limit.requests_per_s, network.now - limit.advertised_at) == pytest.approx(
             (5.0, 0.5)
         )
--- a/reachlink/coordination/tests/test_queue.py
+++ b/reachlink/coordination/tests/test_queue.py
@@ -122,23 +122,23 @@
             m1.member.ask(make_queued_query("late", first_event_due_in_s=-1.0, hold_s=2.0))
         )
         await asyncio.sleep(0.01)
-        usual = asyncio.ensure_future(m2.member.ask(make_queued_query("usual", hold_s=2.0)))
+        normal = asyncio.ensure_future(m2.member.ask(make_queued_query("normal", hold_s=2.0)))
         await asyncio.sleep(0.01)
         urgent = asyncio.ensure_future(
             chosen[1].member.ask(make_queued_query("urgent", priority=1, hold_s=2.0))
         )
         await asyncio.sleep(0.02)
         order = []
-        for waiting in (late, usual, urgent):
-            name = {late: "late", usual: "usual", urgent: "urgent"}[waiting]
+        for waiting in (late, normal, urgent):
+            name = {late: "late", normal: "normal", urgent: "urgent"}[waiting]
             waiting.add_done_callback(lambda _, name=name: order.append(name))
         for replica in ("r1", "r2"):
             end_requests(chosen[0], replica)
         exchange_loads(chosen, network.now)
-        await asyncio.gather(late, usual, urgent)
+        await asyncio.gather(late, normal, urgent)
         return order
 
-    assert run_scenario(scenario()) == ["urgent", "usual", "late"]
+    assert run_scenario(scenario()) == ["urgent", "normal", "late"]
 
 
 @pytest.mark.parametrize("instances", [8, 65, 195])
@@ -270,18 +270,18 @@
         small = asyncio.ensure_future(
             m2.member.ask(make_queued_query("small", tokens=4_000, hold_s=1.0))
         )
-        passed = await small
+        overtaking = await small
         network.now += 0.5
         late = asyncio.ensure_future(
             m2.member.ask(make_queued_query("small-2", tokens=3_000, hold_s=0.3))
         )
-        held_back = await late
+        blocked = await late
         large.cancel()
-        return passed, held_back
+        return overtaking, blocked
 
-    passed, held_back = run_scenario(scenario())
-    assert passed.replica is not None
-    assert isinstance(held_back.otherwise, Wait)
+    overtaking, blocked = run_scenario(scenario())
+    assert overtaking.replica is not None
+    assert isinstance(blocked.otherwise, Wait)
 
 
 def test_query_past_its_hold_time_gets_no_grant():
@@ -345,7 +345,7 @@
     owner = owner_of(others[0], chosen, network.now)
 
     async def scenario() -> list[PlaceAnswer]:
-        crowd = [
+        fillers = [
             asyncio.ensure_future(
                 others[0].member.ask(make_queued_query(f"id-{number}", give_up_in_s=60.0))
             )
@@ -355,28 +355,28 @@
         first = msgspec.structs.replace(
             make_queued_query("first", first_event_due_in_s=-1.0, give_up_in_s=9.0), fingerprint=7
         )
-        told = await others[0].member.ask(first)
-        assert told is not None and isinstance(told.otherwise, Refuse)
+        refused = await others[0].member.ask(first)
+        assert refused is not None and isinstance(refused.otherwise, Refuse)
         await asyncio.sleep(HOLD_S)
-        await asyncio.gather(*crowd)
-        for task in crowd:
-            owner.queue_owner.leave(SERVICE.name, f"id-{crowd.index(task)}")
-        await asyncio.sleep(max(0.0, told.otherwise.retry_after_s - HOLD_S))
-        newcomer = asyncio.ensure_future(
+        await asyncio.gather(*fillers)
+        for task in fillers:
+            owner.queue_owner.leave(SERVICE.name, f"id-{fillers.index(task)}")
+        await asyncio.sleep(max(0.0, refused.otherwise.retry_after_s - HOLD_S))
+        new_request = asyncio.ensure_future(
             others[0].member.ask(
                 make_queued_query("new", first_event_due_in_s=-1.0, give_up_in_s=9.0)
             )
         )
         await asyncio.sleep(0.01)
-        back = msgspec.structs.replace(
+        retry_query = msgspec.structs.replace(
             make_queued_query("again", first_event_due_in_s=-1.0, give_up_in_s=6.0), fingerprint=7
         )
-        returner = asyncio.ensure_future(others[1].member.ask(back))
+        retry = asyncio.ensure_future(others[1].member.ask(retry_query))
         await asyncio.sleep(0.01)
         end_requests(chosen[0], "r1")
         chosen[0].start_request("r1", 15_000)
         exchange_loads(chosen, network.now)
-        return await gather([newcomer, returner])
+        return await gather([new_request, retry])
 
     new, again = run_scenario(scenario())
     assert again.replica is not None
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -83,8 +83,8 @@
     async def _ask(self, instance: Instance, name: str, tokens: int) -> None:
         facts = GenerationFacts("m", 3000, tokens - 3000, (), 0)
         relay = RelayRequest(name, "POST", "/x", [], b"", generation=facts)
-        asked = CallerRequest(relay, ROUTE, SERVICE, self.network.now, TIMEOUT_S)
-        found = await LinePlacing(instance.parts, instance.placing).place(asked, set())
+        request = CallerRequest(relay, ROUTE, SERVICE, self.network.now, TIMEOUT_S)
+        found = await LinePlacing(instance.parts, instance.placing).place(request, set())
         if isinstance(found, Replica):
             self.placed.append((name, found.name))
             instance.start_request(found.name, tokens)
@@ -94,13 +94,13 @@
     async def run(self) -> None:
         """Advance the clock with the time of the loop, and exchange loads regularly."""
         loop = asyncio.get_running_loop()
-        at, told_at = loop.time(), loop.time()
+        at, exchanged_at = loop.time(), loop.time()
         while True:
             await asyncio.sleep(TICK_S)
             self.network.now += loop.time() - at
             at = loop.time()
-            if at - told_at > 0.05:
-                told_at = at
+            if at - exchanged_at > 0.05:
+                exchanged_at = at
                 self.exchange_loads()
 
     async def all_done(self, within_s: float) -> bool:
@@ -372,8 +372,8 @@
         await asyncio.sleep(1.2)
 
     sim = run_scenario(scenario, members=members)
-    asked = [channel for _, channel in sim.network.calls if channel == "place"]
-    assert len(asked) <= 4 * members
+    place_calls = [channel for _, channel in sim.network.calls if channel == "place"]
+    assert len(place_calls) <= 4 * members
 
 
 def test_no_request_is_refused_while_all_replicas_are_briefly_gone():
@@ -406,9 +406,9 @@
         await asyncio.sleep(stuck_s - 2.0)
         # Of the queued requests only those at the end are refused, whose forecast wait is three
         # times the time that they have left.
-        gone = sorted(sim.refused)
-        assert gone == names[number - len(gone) :]
-        assert len(gone) <= number - min(number, 4)
+        refused = sorted(sim.refused)
+        assert refused == names[number - len(refused) :]
+        assert len(refused) <= number - min(number, 4)
         sim.ask(sim.others[0], "new")
         await asyncio.sleep(0.1)
         assert "new" in sim.refused
@@ -437,12 +437,12 @@
         dispatch = RequestDispatcher(member.parts)
         facts = GenerationFacts("m", 3000, 5000, (), 0)
         relay = RelayRequest("id-1", "POST", "/x", [], b"", generation=facts)
-        asked = CallerRequest(relay, ROUTE, SERVICE, sim.network.now, TIMEOUT_S)
-        attempts = dispatch.retry_policy.begin(asked)
-        asked.refusal = Refuse(7.5)
-        failed = dispatch.retry_policy.failure(asked, attempts)
-        assert isinstance(failed, RequestFailedError)
-        assert (failed.status, failed.reason) == (503, "no_room")
-        assert failed.retry_after_s == pytest.approx(7.5)
+        request = CallerRequest(relay, ROUTE, SERVICE, sim.network.now, TIMEOUT_S)
+        attempts = dispatch.retry_policy.begin(request)
+        request.refusal = Refuse(7.5)
+        error = dispatch.retry_policy.failure(request, attempts)
+        assert isinstance(error, RequestFailedError)
+        assert (error.status, error.reason) == (503, "no_room")
+        assert error.retry_after_s == pytest.approx(7.5)
 
     run_scenario(scenario)
--- a/reachlink/coordination/tests/test_queue_grants.py
+++ b/reachlink/coordination/tests/test_queue_grants.py
@@ -39,8 +39,8 @@
         sim.make_room()
         sim.filler.start_request("r2", 30_000)
         sim.exchange_loads()
-        away = make_queued_query("away", tokens=25_000, hold_s=1.0)
-        waiting = ask_all(sim, [with_fields(away, zones=("b",))])
+        large_query = make_queued_query("away", tokens=25_000, hold_s=1.0)
+        waiting = ask_all(sim, [with_fields(large_query, zones=("b",))])
         await asyncio.sleep(0.05)
         first = await sim.others[1].member.ask(make_queued_query("first", tokens=4_000))
         assert first is not None and first.replica is not None
@@ -58,16 +58,16 @@
 def test_room_is_reserved_where_overtaken_request_may_go():
     async def scenario(sim: Simulation) -> None:
         fill_except(sim, 9_000)
-        away = make_queued_query("large", tokens=25_000, hold_s=1.0)
-        waiting = ask_all(sim, [with_fields(away, excluded=("r1",))])
+        large_query = make_queued_query("large", tokens=25_000, hold_s=1.0)
+        waiting = ask_all(sim, [with_fields(large_query, excluded=("r1",))])
         await asyncio.sleep(0.05)
         first = make_queued_query("first", tokens=4_000)
-        passed = await sim.others[1].member.ask(with_fields(first, excluded=("r1",)))
-        assert passed is not None and passed.replica is not None
+        overtaking = await sim.others[1].member.ask(with_fields(first, excluded=("r1",)))
+        assert overtaking is not None and overtaking.replica is not None
         await asyncio.sleep(0.5)
         second = make_queued_query("second", tokens=4_000, hold_s=0.3)
-        held_back = await sim.others[1].member.ask(with_fields(second, excluded=("r1",)))
-        assert held_back is not None and isinstance(held_back.otherwise, Wait)
+        blocked = await sim.others[1].member.ask(with_fields(second, excluded=("r1",)))
+        assert blocked is not None and isinstance(blocked.otherwise, Wait)
         waiting[0].cancel()
 
     run_scenario(scenario)
@@ -78,17 +78,19 @@
         for instance in sim.instances:
             instance.directory.update(REPLICAS_IN_TWO_ZONES, sim.network.now)
         fill_except(sim, 9_000)
-        away = make_queued_query("away", tokens=26_000, hold_s=1.0)
+        large_query = make_queued_query("away", tokens=26_000, hold_s=1.0)
         large = make_queued_query("large", tokens=25_000, hold_s=1.0)
-        waiting = ask_all(sim, [with_fields(away, zones=("b",)), with_fields(large, zones=("a",))])
+        waiting = ask_all(
+            sim, [with_fields(large_query, zones=("b",)), with_fields(large, zones=("a",))]
+        )
         await asyncio.sleep(0.05)
         first = make_queued_query("first", tokens=4_000)
-        passed = await sim.others[1].member.ask(with_fields(first, zones=("a",)))
-        assert passed is not None and passed.replica is not None
+        overtaking = await sim.others[1].member.ask(with_fields(first, zones=("a",)))
+        assert overtaking is not None and overtaking.replica is not None
         await asyncio.sleep(0.5)
         second = make_queued_query("second", tokens=4_000, hold_s=0.3)
-        held_back = await sim.others[1].member.ask(with_fields(second, zones=("a",)))
-        assert held_back is not None and isinstance(held_back.otherwise, Wait)
+        blocked = await sim.others[1].member.ask(with_fields(second, zones=("a",)))
+        assert blocked is not None and isinstance(blocked.otherwise, Wait)
         for task in waiting:
             task.cancel()
 
@@ -142,9 +144,9 @@
         await asyncio.sleep(0.05)
         queue_owner, options = sim.owner.queue_owner, sim.owner.placing._options
         assert queue_owner is not None
-        with patch.object(options, "of", wraps=options.of) as looked:
+        with patch.object(options, "of", wraps=options.of) as compared:
             queue_owner._scan(queue_owner._queues["chat"])
-            assert looked.call_count == 1
+            assert compared.call_count == 1
         for task in tasks:
             task.cancel()
 
@@ -159,10 +161,10 @@
         assert queue_owner is not None
         queue_owner._scan(queue_owner._queues["chat"])
         queries = [make_queued_query(f"late-{n}", give_up_in_s=2.0, hold_s=0.0) for n in range(20)]
-        with patch.object(placing, "has_room", wraps=placing.has_room) as looked:
+        with patch.object(placing, "has_room", wraps=placing.has_room) as compared:
             answers = await asyncio.gather(*ask_all(sim, queries))
         assert all(a is not None and isinstance(a.otherwise, Refuse) for a in answers)
-        assert looked.call_count <= 1
+        assert compared.call_count <= 1
 
     run_scenario(scenario)
 
--- a/reachlink/coordination/tests/test_queue_refusals.py
+++ b/reachlink/coordination/tests/test_queue_refusals.py
@@ -63,10 +63,10 @@
             "younger", hold_s=1.0, first_event_due_in_s=50.0, give_up_in_s=60.0
         )
         others = [asyncio.ensure_future(second.member.ask(younger))]
-        told = await waiting
-        assert told is not None and isinstance(told.otherwise, Refuse)
+        refused = await waiting
+        assert refused is not None and isinstance(refused.otherwise, Refuse)
         others.append(asyncio.ensure_future(second.member.ask(younger)))
-        await asyncio.sleep(told.otherwise.retry_after_s)
+        await asyncio.sleep(refused.otherwise.retry_after_s)
         back = make_queued_query("back", hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         back = msgspec.structs.replace(back, fingerprint=7)
         answer = await first.member.ask(back)
