--- a/reachlink/scheduling/_caller_retries.py
+++ b/reachlink/scheduling/_caller_retries.py
@@ -72,11 +72,11 @@
     Attributes
     ----------
     kept : int
-        Reserved places key callers retried in time and started.
+        Reserved places whose callers retried in time and started.
     broken : int
-        Reserved places key callers retried in time and were refused again.
+        Reserved places whose callers retried in time and were refused again.
     missed : int
-        Reserved places key callers did not retry in time.
+        Reserved places whose callers did not retry in time.
     dropped : int
         Reservations that were dropped because there were too many.
     refused : Counter of RefusalReason
--- a/reachlink/scheduling/_choice.py
+++ b/reachlink/scheduling/_choice.py
@@ -71,14 +71,14 @@
     usable = [o for o in fit if random.random() < o.allowance] or fit
     if need is not None and _is_placed_by_time(usable, need, random):
         return _choose_by_time(usable, need, random, rules).name
-    near = [
+    in_own_zone = [
         o
         for o in usable
         if o.same_zone
         and load_with_request(o, need_tokens, copies=False) <= rules.own_zone_max_load
     ]
     return min(
-        near or usable,
+        in_own_zone or usable,
         key=lambda o: (_cost(o, need_tokens, rules.other_zone_margin), random.random()),
     ).name
 
--- a/reachlink/scheduling/_forecast.py
+++ b/reachlink/scheduling/_forecast.py
@@ -138,16 +138,16 @@
 
     Examples
     --------
-    >>> calm = Pace(slow_factor=2.5, slow_share=0.15, age_s=0.0)
-    >>> round(slow_phase_probability(calm, 0.5), 2), round(slow_phase_probability(Pace(), 0.5), 2)
+    >>> pace = Pace(slow_factor=2.5, slow_share=0.15, age_s=0.0)
+    >>> round(slow_phase_probability(pace, 0.5), 2), round(slow_phase_probability(Pace(), 0.5), 2)
     (0.18, 0.0)
     """
     share = min(pace.slow_share, 0.9)
     # The older the newest observation, the less it tells about the present phase.
     fresh = max(0.0, 1.0 - pace.age_s / SLOW_PHASE_S)
-    now = fresh * (pace.momentary >= SLOW_FROM) + (1.0 - fresh) * share
-    begins = interval_s * share / ((1.0 - share) * SLOW_PHASE_S)
-    return now + (1.0 - now) * min(1.0, begins)
+    present = fresh * (pace.momentary >= SLOW_FROM) + (1.0 - fresh) * share
+    starts = interval_s * share / ((1.0 - share) * SLOW_PHASE_S)
+    return present + (1.0 - present) * min(1.0, starts)
 
 
 def plain_call_time(option: ReplicaOption) -> float:
--- a/reachlink/scheduling/_loss.py
+++ b/reachlink/scheduling/_loss.py
@@ -113,15 +113,15 @@
             loss += self._other_zone_loss
         late = 0.0
         if first_s * slow_factor > self._safe_first_event_s:
-            late = self._late_chance(pace, first_s)
+            late = self._late_probability(pace, first_s)
         if pause_s * slow_factor <= self._safe_pause_s:
             return loss + late * self._work
         run_s = self._output_tokens * step_s * steady
         prefill_s = self._prompt_tokens * token_s * steady
         return loss + self._loss_with_pauses(option, pause_s, prefill_s, run_s, late)
 
-    def _late_chance(self, pace: Pace, first_s: float) -> float:
-        """Return the chance that the first event is late."""
+    def _late_probability(self, pace: Pace, first_s: float) -> float:
+        """Return the probability that the first event is late."""
         if first_s + SLOW_PHASE_S <= self._safe_first_event_s:
             return 0.0
         late = ramp(first_s / self._first_event_due_in_s, FIRST_EVENT_MARGIN)
@@ -133,22 +133,29 @@
     def _loss_with_pauses(
         self, option: ReplicaOption, pause_s: float, prefill_s: float, run_s: float, late: float
     ) -> float:
-        """Return the expected loss by late first events and by too long pauses."""
+        """Return the expected loss by late first events and by too long pauses.
+
+        Pauses are too long in any case, or only in slow phases of the replica. They are caused
+        by the prompt of the request, for what runs there, and by later prompts, for its own
+        output.
+        """
         pace = option.pace or NOMINAL_PACE
-        bound_s = self._max_pause_s
-        always = ramp(pause_s / bound_s, PAUSE_MARGIN) if pause_s > self._safe_pause_s else 0.0
-        slow_factor = ramp(pause_s * pace.slow_factor / bound_s, PAUSE_MARGIN)
-        met = max(always, slow_factor * slow_phase_probability(pace, prefill_s))
-        own = max(always, slow_factor * pace.slow_share) * run_s * PROMPTS_PER_S
-        lost = late + (1.0 - late) * min(1.0, own)
+        limit_s = self._max_pause_s
+        steady_chance = (
+            ramp(pause_s / limit_s, PAUSE_MARGIN) if pause_s > self._safe_pause_s else 0.0
+        )
+        slow_chance = ramp(pause_s * pace.slow_factor / limit_s, PAUSE_MARGIN)
+        prefill_chance = max(steady_chance, slow_chance * slow_phase_probability(pace, prefill_s))
+        own_pauses = max(steady_chance, slow_chance * pace.slow_share) * run_s * PROMPTS_PER_S
+        late_chance = late + (1.0 - late) * min(1.0, own_pauses)
         remaining = option.remaining_tokens
-        loss = lost * self._work - slow_factor * self._memory_loss
+        loss = late_chance * self._work - slow_chance * self._memory_loss
         if not prefill_s:
             # A resumed generation has no prompt to process, but may run beside one.
-            return loss + met * self._work if option.unread_tokens else loss
-        loss += met * remaining * LOSS_PER_REMAINING_TOKEN
+            return loss + prefill_chance * self._work if option.unread_tokens else loss
+        loss += prefill_chance * remaining * LOSS_PER_REMAINING_TOKEN
         if remaining < LONG_TOKENS < self._output_tokens:
-            loss += slow_factor * self._first_long_loss
+            loss += slow_chance * self._first_long_loss
         return loss
 
 
--- a/reachlink/scheduling/_settings.py
+++ b/reachlink/scheduling/_settings.py
@@ -49,7 +49,7 @@
 
     Examples
     --------
-    >>> SchedulingOverrides(pace=False).resolve(crowded=True)
+    >>> SchedulingOverrides(pace=False).resolve(expects_overload=True)
     SchedulingSettings(line=True, pace=False, held_bytes=0, over_zones=True)
     """
 
@@ -58,18 +58,20 @@
     held_bytes: Annotated[int, msgspec.Meta(ge=0)] | None = None
     over_zones: bool | None = None
 
-    def resolve(self, crowded: bool, memory_mb: float = 0.0) -> SchedulingSettings:
+    def resolve(self, expects_overload: bool, memory_mb: float = 0.0) -> SchedulingSettings:
         """Return the scheduling settings of a deployment with the overrides applied.
 
         Parameters
         ----------
-        crowded : bool
-            Whether callers compete for too little capacity and may be slow to read.
+        expects_overload : bool
+            Whether callers are expected to compete for too little capacity and to read slowly.
         memory_mb : float
             Memory available to this process, in MB; 0 if unknown.
         """
-        held_bytes = default_buffer_bytes(memory_mb) if crowded else 0
-        defaults = SchedulingSettings(line=crowded, over_zones=crowded, held_bytes=held_bytes)
+        held_bytes = default_buffer_bytes(memory_mb) if expects_overload else 0
+        defaults = SchedulingSettings(
+            line=expects_overload, over_zones=expects_overload, held_bytes=held_bytes
+        )
         overrides = structs.asdict(self)
         return structs.replace(defaults, **{k: v for k, v in overrides.items() if v is not None})
 
