--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -160,16 +160,16 @@
             self._shared.forget(name)
         return list(self._members)
 
-    def add_member_shares(self, own: list[ReplicaShare]) -> list[ReplicaShare]:
+    def add_member_usages(self, own: list[ReplicaShare]) -> list[ReplicaShare]:
         """Return the sum of this instance's load and its members', for other coordinators."""
         members = self.members
         if not members:
             return own
-        found: dict[str, list[ReplicaShare]] = {share.replica: [share] for share in own}
+        found: dict[str, list[ReplicaShare]] = {usage.replica: [usage] for usage in own}
         for name in members:
-            for share in self._shared.told_by(name, self._clock()):
-                found.setdefault(share.replica, []).append(share)
-        return [total(shares) for shares in found.values()]
+            for usage in self._shared.told_by(name, self._clock()):
+                found.setdefault(usage.replica, []).append(usage)
+        return [total(usages) for usages in found.values()]
 
     def notify_members(self) -> None:
         """Send members a snapshot at once, as a replica is leaving or a zone is cut off."""
@@ -249,24 +249,24 @@
     def _snapshot_for(self, update: MemberUpdate) -> CoordinatorSnapshot:
         member = update.load.instance
         replicas = [r for s in self._services() for r in self._engine_replicas(s.name)]
-        occupied = {share.replica for share in update.load.shares}
-        included = [r for r in replicas if update.whole or r.name in occupied]
+        occupied = {usage.replica for usage in update.load.shares}
+        included = [r for r in replicas if update.full or r.name in occupied]
         listed = listed_replicas(self._directory, self._clock())
         # Before this instance has read the list, a member may know more replicas than it.
-        whole = self._directory.is_whole
-        digest = replica_list_digest(listed) if whole else 0
+        has_list = self._directory.is_whole
+        digest = replica_list_digest(listed) if has_list else 0
         reach = self._reach()
         return CoordinatorSnapshot(
             coordinator=self._name,
-            shares=self._shares_for(member, included, occupied),
-            whole=update.whole,
-            news=self._reports(replicas, occupied),
+            usages=self._usages_for(member, included, occupied),
+            full=update.full,
+            reports=self._reports(replicas, occupied),
             list_digest=digest,
-            listed=listed if whole and digest != update.list_digest else None,
+            replica_list=listed if has_list and digest != update.list_digest else None,
             silent_zones=sorted(reach.silent_zones),
             cut_off=reach.cut_off,
             allowances=self._allowances(),
-            cold={r.name: r.cold_s for r in listed if r.cold_s > 0.0},
+            cold_s={r.name: r.cold_s for r in listed if r.cold_s > 0.0},
             quarantine=self._quarantine.make_update(),
             limits=self._limits.updates(),
             paces=self._paces.updates_for_member(member, new=not update.list_digest),
@@ -283,18 +283,18 @@
         staying = self._directory.staying(service)
         return staying + [r for r in leaving if r not in staying]
 
-    def _shares_for(
+    def _usages_for(
         self, member: str, replicas: list[Replica], occupied: Set[str]
     ) -> list[ReplicaShare]:
         """Return the load of all instances but one member at each replica."""
         now = self._clock()
-        own = {share.replica: share for share in self._book.shares(now)}
+        own = {usage.replica: usage for usage in self._book.shares(now)}
         found = []
         for replica in replicas:
-            share = self._shared.at(replica.name, now, without=member)
+            usage = self._shared.at(replica.name, now, without=member)
             if replica.name in own:
-                share = total([share, own[replica.name]])
-            found.append(share if replica.name in occupied else shortened(share))
+                usage = total([usage, own[replica.name]])
+            found.append(usage if replica.name in occupied else shortened(usage))
         return found
 
     def _reports(self, replicas: list[Replica], occupied: Set[str]) -> list[ReplicaNews]:
@@ -303,9 +303,9 @@
         for replica in replicas:
             leaves = not self._directory.stays(replica.name)
             if leaves or replica.name in occupied:
-                news = self._book.state(replica.name).news(now)
-                if news is not None:
-                    found.append(news)
+                report = self._book.state(replica.name).news(now)
+                if report is not None:
+                    found.append(report)
         return found
 
     def _allowances(self) -> dict[str, float]:
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -122,7 +122,7 @@
         self._has_replica_list = False
         # Latest load of each replica that the coordinator sent, and the monotonic time in seconds
         # of its last snapshot of all replicas.
-        self._shares: dict[str, ReplicaShare] = {}
+        self._usages: dict[str, ReplicaShare] = {}
         self._full_snapshot_at = float("-inf")
         self._changed = asyncio.Event()
         # Set while this instance is a member.
@@ -251,8 +251,8 @@
         )
         known = self._snapshot is not None and self._snapshot.coordinator == coordinator
         digest = self._snapshot.list_digest if self._snapshot is not None and known else 0
-        whole = not known or self._clock() - self._full_snapshot_at > FULL_SNAPSHOT_INTERVAL_S
-        return MemberUpdate(load, self._book.take_outcomes(), digest, whole, wait_s)
+        full = not known or self._clock() - self._full_snapshot_at > FULL_SNAPSHOT_INTERVAL_S
+        return MemberUpdate(load, self._book.take_outcomes(), digest, full, wait_s)
 
     def _apply_snapshot(self, snapshot: CoordinatorSnapshot) -> None:
         now = self._clock()
@@ -262,16 +262,16 @@
         if before is None or before.coordinator != snapshot.coordinator:
             self._log.info("coordinator_followed", coordinator=snapshot.coordinator)
         self._snapshot, self._snapshot_at = snapshot, now
-        if snapshot.whole:
-            self._shares, self._full_snapshot_at = {}, now
-        self._shares.update((share.replica, share) for share in snapshot.shares)
-        self._shared.take(LoadNote(snapshot.coordinator, list(self._shares.values())), now)
-        if snapshot.listed:
+        if snapshot.full:
+            self._usages, self._full_snapshot_at = {}, now
+        self._usages.update((usage.replica, usage) for usage in snapshot.usages)
+        self._shared.take(LoadNote(snapshot.coordinator, list(self._usages.values())), now)
+        if snapshot.replica_list:
             self._has_replica_list = True
-            self._directory.update(to_listed_instances(snapshot.listed), now)
-        for replica, cold_s in snapshot.cold.items():
+            self._directory.update(to_listed_instances(snapshot.replica_list), now)
+        for replica, cold_s in snapshot.cold_s.items():
             self._directory.note_cold(replica, cold_s, now)
-        self._apply_reports(snapshot.news)
+        self._apply_reports(snapshot.reports)
         self._quarantine.apply_update(snapshot.quarantine)
         self._limits.apply_updates(snapshot.limits)
         self._paces.apply_from_coordinator(snapshot.coordinator, snapshot.paces)
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -45,7 +45,7 @@
         Outcomes of its requests since its last update.
     list_digest : int
         Digest of the latest replica list that it received; 0 if it has none.
-    whole : bool
+    full : bool
         Whether the reply should contain all replicas, not only those where the member has
         allocations.
     wait_s : float
@@ -56,7 +56,7 @@
     load: LoadNote
     outcomes: list[ReplicaOutcome] = []
     list_digest: int = 0
-    whole: bool = True
+    full: bool = True
     wait_s: float = 0.0
 
 
@@ -67,17 +67,17 @@
     ----------
     coordinator : str
         Name of the coordinator.
-    shares : list of ReplicaUsage
+    usages : list of ReplicaUsage
         Load of all instances but the member at each included replica; copies and generations
         are listed individually only for replicas where the member has allocations.
-    whole : bool
+    full : bool
         Whether all replicas are included, so that missing ones no longer exist.
-    news : list of ReplicaReport
+    reports : list of ReplicaReport
         Latest reports of replicas that are leaving, and of those where the member has
         allocations.
     list_digest : int
         Digest of the replica list; 0 if the coordinator has not read the list yet.
-    listed : list of ListedReplica, optional
+    replica_list : list of ListedReplica, optional
         Replica list, if the member has a different one; None while the coordinator has not
         read it yet.
     silent_zones : list of str
@@ -87,7 +87,7 @@
     allowances : dict of str to float
         Share of its usual load that a replica may get, from 0 to 1, for replicas where it is
         below 1 because requests have failed there.
-    cold : dict of str to float
+    cold_s : dict of str to float
         Time in seconds for which a replica is still cold, for replicas that are.
     quarantine : QuarantineNote
         Crashes and clearances that the coordinator learned recently.
@@ -98,15 +98,15 @@
     """
 
     coordinator: str
-    shares: list[ReplicaShare]
-    whole: bool = True
-    news: list[ReplicaNews] = []
+    usages: list[ReplicaShare]
+    full: bool = True
+    reports: list[ReplicaNews] = []
     list_digest: int = 0
-    listed: list[ListedReplica] | None = None
+    replica_list: list[ListedReplica] | None = None
     silent_zones: list[str] = []
     cut_off: bool = False
     allowances: dict[str, float] = {}
-    cold: dict[str, float] = {}
+    cold_s: dict[str, float] = {}
     quarantine: QuarantineNote = QuarantineNote()
     limits: list[LimitUpdate] = []
     paces: list[PaceUpdate] = []
--- a/reachlink/coordination/_recent_grants.py
+++ b/reachlink/coordination/_recent_grants.py
@@ -35,14 +35,14 @@
         self._grants: deque[tuple[float, ReplicaShare]] = deque()
         self._expiry_timer: asyncio.TimerHandle | None = None
 
-    def add(self, instance: str, share: ReplicaShare) -> None:
+    def add(self, instance: str, usage: ReplicaShare) -> None:
         """Add the load that a grant to an instance puts on a replica."""
         now = self._clock()
         if now - self._shared.last_heard(instance) < REPORTS_HERE_S:
             # The next update of the instance replaces this load.
-            self._shared.add(instance, share, now)
+            self._shared.add(instance, usage, now)
             return
-        self._grants.append((now + GRANT_COUNTED_S, share))
+        self._grants.append((now + GRANT_COUNTED_S, usage))
         self._update_total(now)
 
     def _drop_expired(self) -> None:
@@ -53,10 +53,10 @@
         self._update_total(now)
 
     def _update_total(self, now: float) -> None:
-        shares: dict[str, list[ReplicaShare]] = {}
-        for _, share in self._grants:
-            shares.setdefault(share.replica, []).append(share)
-        self._shared.take(LoadNote(RECENT_GRANTS, [total(found) for found in shares.values()]), now)
+        usages: dict[str, list[ReplicaShare]] = {}
+        for _, usage in self._grants:
+            usages.setdefault(usage.replica, []).append(usage)
+        self._shared.take(LoadNote(RECENT_GRANTS, [total(found) for found in usages.values()]), now)
         if self._grants and self._expiry_timer is None:
             loop = asyncio.get_running_loop()
             left_s = max(MIN_EXPIRY_DELAY_S, self._grants[0][0] - now)
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -166,7 +166,7 @@
         await m1.poll_coordinator()
         network.now += 3.1
         await m1.poll_coordinator()
-        return old.coordinator.add_member_shares([]), new.coordinator.add_member_shares([])
+        return old.coordinator.add_member_usages([]), new.coordinator.add_member_usages([])
 
     at_old, at_new = asyncio.run(scenario())
     assert at_old == [] or at_new == []
@@ -212,7 +212,7 @@
         m2.start_request("r1", 4_000)
         await m1.poll_coordinator()
         await m2.poll_coordinator()
-        return c1.coordinator.add_member_shares(c1.book.shares(c1.clock()))
+        return c1.coordinator.add_member_usages(c1.book.shares(c1.clock()))
 
     (share,) = asyncio.run(scenario())
     assert (share.running, share.tokens) == (3, 7_000)
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -316,7 +316,7 @@
 
     def _shares(self) -> list[ReplicaShare]:
         """Return the requests of this instance and its members at model engines."""
-        return self.coordinator.add_member_shares(self.book.shares(steady_time()))
+        return self.coordinator.add_member_usages(self.book.shares(steady_time()))
 
     def _zone_answered_at(self, zone: str) -> float:
         """Return when a replica of a zone answered last, in monotonic seconds."""
