--- a/benchmarks/bench_coordination.py
+++ b/benchmarks/bench_coordination.py
@@ -46,7 +46,7 @@
     for number, follower in enumerate(followers):
         for generation in range(CARRIED):
             flight = follower.start_request(listed[(number + generation) % replicas].name)
-            flight.uncovered = True
+            flight.unreplicated = True
     network.now += 10.0
     return coordinator, followers
 
--- a/benchmarks/bench_decision.py
+++ b/benchmarks/bench_decision.py
@@ -18,13 +18,13 @@
 from reachlink.membership import ListedInstance, ReplicaDirectory
 from reachlink.requests import (
     CallerRequest,
-    LoadNote,
-    ReplicaBook,
-    ReplicaShare,
+    LoadUpdate,
+    PeerLoad,
+    ReplicaTracker,
+    ReplicaUsage,
     RunnerParts,
-    SharedLoad,
 )
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
 from reachlink.routing import Backend, EngineLimits, RequestKind, Route, Service
 from reachlink.scheduling import Need, Pace, ReplicaOption, best_start
 from reachlink.upstreams import GenerationFacts, RelayRequest
@@ -39,23 +39,23 @@
 )
 
 
-def placing(replicas: int, peers: int) -> Placing:
+def placing(replicas: int, peers: int) -> Placer:
     """Return a placing that knows replicas and the shares of other instances."""
     random = Random(1)
     names = [f"r{n}" for n in range(replicas)]
     directory = ReplicaDirectory()
     listed = [ListedInstance(n, "chat", f"z{i % 3}", f"{n}:1") for i, n in enumerate(names)]
     directory.update(listed, 0.0)
-    shared = SharedLoad()
+    shared = PeerLoad()
     for peer in range(peers):
         shares = [
-            ReplicaShare(name, running=1, tokens=random.randint(2000, 6000), used_tokens=2000)
+            ReplicaUsage(name, running=1, tokens=random.randint(2000, 6000), used_tokens=2000)
             for name in random.sample(names, replicas // 5)
         ]
-        shared.take(LoadNote(f"e{peer}", shares), time.monotonic())
+        shared.update(LoadUpdate(f"e{peer}", shares), time.monotonic())
     unused: Any = None
-    return Placing(
-        RunnerParts("z0", unused, directory, ReplicaBook(), shared, random, lambda *told: None)
+    return Placer(
+        RunnerParts("z0", unused, directory, ReplicaTracker(), shared, random, lambda *told: None)
     )
 
 
@@ -104,7 +104,7 @@
     relay = RelayRequest("id", "POST", "/c/", [], b"", generation=GenerationFacts("m", 3000, 900))
     request = CallerRequest(relay, ROUTE, SERVICE, time.monotonic(), 39.0)
     began = time.process_time()
-    question = place.question(request, set(), calm_only=True)
+    question = place.query(request, set(), avoid_resuming=True)
     for _ in range(words.decisions):
         place.decide(request.service, question)
     mean_us = (time.process_time() - began) / words.decisions * 1e6
--- a/reachlink/coordination/_asking.py
+++ b/reachlink/coordination/_asking.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from reachlink.membership import InstanceRecord
-from reachlink.requests import PlaceAnswer
+from reachlink.requests import PlacementReply
 
 # Timeout of a placement query in seconds; then the next instance is asked. A reply takes about
 # 3 ms within a zone, and longer from a coordinator that is busy or just starting.
@@ -15,8 +15,8 @@
 
 async def ask_in_order(
     instances: Iterable[InstanceRecord],
-    ask: Callable[[InstanceRecord], Awaitable[PlaceAnswer | None]],
-) -> tuple[PlaceAnswer | None, InstanceRecord | None]:
+    ask: Callable[[InstanceRecord], Awaitable[PlacementReply | None]],
+) -> tuple[PlacementReply | None, InstanceRecord | None]:
     """Return the first reply of an instance that is ready to decide.
 
     Parameters
@@ -29,7 +29,7 @@
 
     Returns
     -------
-    answer : PlaceAnswer or None
+    answer : PlacementReply or None
         The reply, or None if no ready instance replied.
     not_ready : InstanceRecord or None
         The first instance that replied but is not ready, if no ready instance replied. It
@@ -38,7 +38,7 @@
     not_ready: InstanceRecord | None = None
     for instance in islice(instances, MAX_ASKED):
         answer = await ask(instance)
-        if answer is not None and answer.settled:
+        if answer is not None and answer.ready:
             return answer, None
         if answer is not None:
             not_ready = not_ready or instance
--- a/reachlink/coordination/_caller_retry_ledger.py
+++ b/reachlink/coordination/_caller_retry_ledger.py
@@ -5,7 +5,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.quarantine import fingerprint_text
-from reachlink.requests import PlaceQuestion
+from reachlink.requests import PlacementQuery
 from reachlink.scheduling import (
     CallerRetryRegistry,
     Need,
@@ -43,12 +43,12 @@
         self._omitted = 0
         self._log: Any = get_logger()
 
-    def on_arrival(self, query: PlaceQuestion) -> tuple[Need, RetryReservation | None]:
+    def on_arrival(self, query: PlacementQuery) -> tuple[Need, RetryReservation | None]:
         """Return the need of a request that arrives, and the reservation that it claims.
 
         Parameters
         ----------
-        query : PlaceQuestion
+        query : PlacementQuery
             First query about the request.
         """
         now = self._clock()
@@ -70,7 +70,7 @@
 
     def record_decision(
         self,
-        query: PlaceQuestion,
+        query: PlacementQuery,
         need: Need,
         reservation: RetryReservation | None,
         start: Start,
@@ -80,7 +80,7 @@
 
         Parameters
         ----------
-        query : PlaceQuestion
+        query : PlacementQuery
             Query about the request.
         need : Need
             Need of the request, as `on_arrival` returned it.
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -23,15 +23,15 @@
 from reachlink.messaging import Bus, decode, encode
 from reachlink.requests import (
     ListedReplica,
-    PlaceAnswer,
-    PlaceQuestion,
-    Placing,
-    ReplicaBook,
-    ReplicaNews,
-    ReplicaShare,
-    SharedLoad,
-    shortened,
-    total,
+    PeerLoad,
+    PlacementQuery,
+    PlacementReply,
+    Placer,
+    ReplicaReport,
+    ReplicaTracker,
+    ReplicaUsage,
+    sum_usages,
+    with_aggregated_copies,
 )
 from reachlink.routing import Service
 from reachlink.telemetry import get_logger
@@ -100,12 +100,12 @@
         self,
         name: str,
         bus: Bus,
-        book: ReplicaBook,
-        shared: SharedLoad,
+        book: ReplicaTracker,
+        shared: PeerLoad,
         directory: ReplicaDirectory,
-        placing: Placing,
+        placing: Placer,
         services: Callable[[], list[Service]],
-        apply_reports: Callable[[Iterable[ReplicaNews]], None],
+        apply_reports: Callable[[Iterable[ReplicaReport]], None],
         quarantine: QuarantineExchange,
         limits: LimitExchange,
         paces: PaceExchange,
@@ -160,16 +160,16 @@
             self._shared.forget(name)
         return list(self._members)
 
-    def add_member_usages(self, own: list[ReplicaShare]) -> list[ReplicaShare]:
+    def add_member_usages(self, own: list[ReplicaUsage]) -> list[ReplicaUsage]:
         """Return the sum of this instance's load and its members', for other coordinators."""
         members = self.members
         if not members:
             return own
-        found: dict[str, list[ReplicaShare]] = {usage.replica: [usage] for usage in own}
+        found: dict[str, list[ReplicaUsage]] = {usage.replica: [usage] for usage in own}
         for name in members:
-            for usage in self._shared.told_by(name, self._clock()):
+            for usage in self._shared.usages_of(name, self._clock()):
                 found.setdefault(usage.replica, []).append(usage)
-        return [total(usages) for usages in found.values()]
+        return [sum_usages(usages) for usages in found.values()]
 
     def notify_members(self) -> None:
         """Send members a snapshot at once, as a replica is leaving or a zone is cut off."""
@@ -183,7 +183,7 @@
         self._apply_update(update)
         if update.wait_s <= 0.0:
             # One-way update about requests that have started or ended: no reply is expected.
-            self._book.touch()
+            self._book.notify_listeners()
             return b""
         # A member whose update arrives just after the others were notified must not wait for
         # the next news, nor one that knows of crashes that are not known here.
@@ -206,25 +206,25 @@
         if name not in self._members:
             self._log.info("member_follows", member=name)
         self._members[name] = now
-        self._shared.take(update.load, now)
-        self._apply_reports(update.load.news)
+        self._shared.update(update.load, now)
+        self._apply_reports(update.load.reports)
         self._quarantine.apply_update(update.load.quarantine)
         self._limits.apply_updates(update.load.limits)
         self._paces.apply_from_member(name, update.load.paces)
         for outcome in update.outcomes:
-            self._book.note_outcome(outcome, now, self._random)
+            self._book.record_outcome(outcome, now, self._random)
         if self._queue_owner is not None:
             self._queue_owner.wake()
 
     async def _on_query(self, sender: str, body: bytes) -> bytes:
-        query = decode(body, PlaceQuestion)
+        query = decode(body, PlacementQuery)
         # Without a replica list the reply would be that there is no room.
-        forced = query.insist and self._directory.is_whole
+        forced = query.force_decision and self._directory.is_whole
         if not self.ready and not forced:
-            return encode(PlaceAnswer(settled=False))
-        if self._queue_owner is not None and self.ready and query.in_line:
+            return encode(PlacementReply(ready=False))
+        if self._queue_owner is not None and self.ready and query.may_queue:
             return encode(await self._queue_owner.answer(query))
-        return encode(PlaceAnswer(settled=True, replica=self._decide(query)))
+        return encode(PlacementReply(ready=True, replica=self._decide(query)))
 
     async def _on_left(self, sender: str, body: bytes) -> bytes:
         left = decode(body, QueueLeft)
@@ -232,7 +232,7 @@
             self._queue_owner.leave(left.service, left.request_id)
         return b""
 
-    def _decide(self, query: PlaceQuestion) -> ListedReplica | None:
+    def _decide(self, query: PlacementQuery) -> ListedReplica | None:
         service = next((s for s in self._services() if s.name == query.service), None)
         if service is None:
             return None
@@ -240,8 +240,8 @@
         if replica is None:
             return None
         now = self._clock()
-        self._shared.add(query.instance, query.occupies(replica.name), now)
-        self._book.touch()
+        self._shared.add(query.instance, query.usage_at(replica.name), now)
+        self._book.notify_listeners()
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
@@ -249,7 +249,7 @@
     def _snapshot_for(self, update: MemberUpdate) -> CoordinatorSnapshot:
         member = update.load.instance
         replicas = [r for s in self._services() for r in self._engine_replicas(s.name)]
-        occupied = {usage.replica for usage in update.load.shares}
+        occupied = {usage.replica for usage in update.load.usages}
         included = [r for r in replicas if update.full or r.name in occupied]
         listed = listed_replicas(self._directory, self._clock())
         # Before this instance has read the list, a member may know more replicas than it.
@@ -285,25 +285,25 @@
 
     def _usages_for(
         self, member: str, replicas: list[Replica], occupied: Set[str]
-    ) -> list[ReplicaShare]:
+    ) -> list[ReplicaUsage]:
         """Return the load of all instances but one member at each replica."""
         now = self._clock()
-        own = {usage.replica: usage for usage in self._book.shares(now)}
+        own = {usage.replica: usage for usage in self._book.usages(now)}
         found = []
         for replica in replicas:
-            usage = self._shared.at(replica.name, now, without=member)
+            usage = self._shared.usage_at(replica.name, now, without=member)
             if replica.name in own:
-                usage = total([usage, own[replica.name]])
-            found.append(usage if replica.name in occupied else shortened(usage))
+                usage = sum_usages([usage, own[replica.name]])
+            found.append(usage if replica.name in occupied else with_aggregated_copies(usage))
         return found
 
-    def _reports(self, replicas: list[Replica], occupied: Set[str]) -> list[ReplicaNews]:
+    def _reports(self, replicas: list[Replica], occupied: Set[str]) -> list[ReplicaReport]:
         now = self._clock()
         found = []
         for replica in replicas:
             leaves = not self._directory.stays(replica.name)
             if leaves or replica.name in occupied:
-                report = self._book.state(replica.name).news(now)
+                report = self._book.state(replica.name).current_report(now)
                 if report is not None:
                     found.append(report)
         return found
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -23,13 +23,13 @@
 from reachlink.membership import InstanceRecord, ReplicaDirectory
 from reachlink.messaging import Bus, MessagingError, decode, encode
 from reachlink.requests import (
-    LoadNote,
-    PlaceAnswer,
-    PlaceQuestion,
-    ReplicaBook,
-    ReplicaNews,
-    ReplicaShare,
-    SharedLoad,
+    LoadUpdate,
+    PeerLoad,
+    PlacementQuery,
+    PlacementReply,
+    ReplicaReport,
+    ReplicaTracker,
+    ReplicaUsage,
 )
 from reachlink.telemetry import get_logger
 
@@ -92,11 +92,11 @@
         selector: CoordinatorSelector,
         name: str,
         bus: Bus,
-        book: ReplicaBook,
-        shared: SharedLoad,
+        book: ReplicaTracker,
+        shared: PeerLoad,
         directory: ReplicaDirectory,
-        apply_reports: Callable[[Iterable[ReplicaNews]], None],
-        own_reports: Callable[[], list[ReplicaNews]],
+        apply_reports: Callable[[Iterable[ReplicaReport]], None],
+        own_reports: Callable[[], list[ReplicaReport]],
         quarantine: QuarantineExchange,
         limits: LimitExchange,
         paces: PaceExchange,
@@ -122,12 +122,12 @@
         self._has_replica_list = False
         # Latest load of each replica that the coordinator sent, and the monotonic time in seconds
         # of its last snapshot of all replicas.
-        self._usages: dict[str, ReplicaShare] = {}
+        self._usages: dict[str, ReplicaUsage] = {}
         self._full_snapshot_at = float("-inf")
         self._changed = asyncio.Event()
         # Set while this instance is a member.
         self._is_member = asyncio.Event()
-        book.listen(self._changed.set)
+        book.add_listener(self._changed.set)
         self._log: Any = get_logger()
 
     @property
@@ -157,12 +157,12 @@
         else:
             self._is_member.clear()
 
-    async def ask(self, query: PlaceQuestion) -> PlaceAnswer | None:
+    async def ask(self, query: PlacementQuery) -> PlacementReply | None:
         """Return the decision of a coordinator; None if this instance should decide itself.
 
         A coordinator that has just started knows little and decides only if no other does.
         """
-        if self._queue_client is not None and query.in_line:
+        if self._queue_client is not None and query.may_queue:
             return await self._queue_client.ask(structs.replace(query, instance=self._name))
         if not self._selector.is_member:
             return None
@@ -174,22 +174,22 @@
             self._count("no_room" if answer.replica is None else "placed")
         return answer
 
-    async def _ask_coordinators(self, query: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_coordinators(self, query: PlacementQuery) -> PlacementReply | None:
         coordinators = self._selector.by_preference(self._clock())
         answer, not_ready = await ask_in_order(coordinators, lambda one: self._ask_one(one, query))
         if not_ready is None:
             return answer
-        answer = await self._ask_one(not_ready, structs.replace(query, insist=True))
-        return answer if answer is not None and answer.settled else None
+        answer = await self._ask_one(not_ready, structs.replace(query, force_decision=True))
+        return answer if answer is not None and answer.ready else None
 
     async def _ask_one(
-        self, coordinator: InstanceRecord, query: PlaceQuestion
-    ) -> PlaceAnswer | None:
+        self, coordinator: InstanceRecord, query: PlacementQuery
+    ) -> PlacementReply | None:
         try:
             raw = await self._bus.call(
                 coordinator.address, CHANNEL_PLACE, encode(query), REPLY_TIMEOUT_S
             )
-            return decode(raw, PlaceAnswer)
+            return decode(raw, PlacementReply)
         except MessagingError as error:
             self._note_silence(coordinator, str(error))
             return None
@@ -227,7 +227,7 @@
         snapshot = self.coordinator_snapshot
         if snapshot is None or snapshot.coordinator != coordinator.name:
             return FIRST_WAIT_S
-        return BUSY_WAIT_S if self._book.carrying() else IDLE_WAIT_S
+        return BUSY_WAIT_S if self._book.occupied_replicas() else IDLE_WAIT_S
 
     async def _send_changes(self) -> None:
         """Send an update after each change without waiting for a reply."""
@@ -241,9 +241,9 @@
             await asyncio.sleep(MIN_SEND_INTERVAL_S)
 
     def _make_update(self, coordinator: str, wait_s: float) -> MemberUpdate:
-        load = LoadNote(
+        load = LoadUpdate(
             self._name,
-            self._book.shares(self._clock()),
+            self._book.usages(self._clock()),
             self._own_reports(),
             quarantine=self._quarantine.make_update(),
             limits=self._limits.updates(),
@@ -252,7 +252,7 @@
         known = self._snapshot is not None and self._snapshot.coordinator == coordinator
         digest = self._snapshot.list_digest if self._snapshot is not None and known else 0
         full = not known or self._clock() - self._full_snapshot_at > FULL_SNAPSHOT_INTERVAL_S
-        return MemberUpdate(load, self._book.take_outcomes(), digest, full, wait_s)
+        return MemberUpdate(load, self._book.pop_outcomes(), digest, full, wait_s)
 
     def _apply_snapshot(self, snapshot: CoordinatorSnapshot) -> None:
         now = self._clock()
@@ -265,7 +265,7 @@
         if snapshot.full:
             self._usages, self._full_snapshot_at = {}, now
         self._usages.update((usage.replica, usage) for usage in snapshot.usages)
-        self._shared.take(LoadNote(snapshot.coordinator, list(self._usages.values())), now)
+        self._shared.update(LoadUpdate(snapshot.coordinator, list(self._usages.values())), now)
         if snapshot.replica_list:
             self._has_replica_list = True
             self._directory.update(to_listed_instances(snapshot.replica_list), now)
@@ -277,4 +277,4 @@
         self._paces.apply_from_coordinator(snapshot.coordinator, snapshot.paces)
         for replica, allowance in snapshot.allowances.items():
             state = self._book.state(replica)
-            state.told_allowance, state.told_at = allowance, now
+            state.coordinator_allowance, state.coordinator_allowance_at = allowance, now
--- a/reachlink/coordination/_messages.py
+++ b/reachlink/coordination/_messages.py
@@ -8,7 +8,13 @@
 
 from reachlink.pacing import LimitUpdate
 from reachlink.quarantine import QuarantineNote
-from reachlink.requests import ListedReplica, LoadNote, ReplicaNews, ReplicaOutcome, ReplicaShare
+from reachlink.requests import (
+    ListedReplica,
+    LoadUpdate,
+    ReplicaOutcome,
+    ReplicaReport,
+    ReplicaUsage,
+)
 from reachlink.scheduling import PaceUpdate
 
 CHANNEL_MEMBER = "member"
@@ -53,7 +59,7 @@
         that leaves; 0 if no reply is expected.
     """
 
-    load: LoadNote
+    load: LoadUpdate
     outcomes: list[ReplicaOutcome] = []
     list_digest: int = 0
     full: bool = True
@@ -98,9 +104,9 @@
     """
 
     coordinator: str
-    usages: list[ReplicaShare]
+    usages: list[ReplicaUsage]
     full: bool = True
-    reports: list[ReplicaNews] = []
+    reports: list[ReplicaReport] = []
     list_digest: int = 0
     replica_list: list[ListedReplica] | None = None
     silent_zones: list[str] = []
--- a/reachlink/coordination/_queue_client.py
+++ b/reachlink/coordination/_queue_client.py
@@ -13,7 +13,7 @@
 from reachlink.kernel import steady_time
 from reachlink.membership import InstanceRecord
 from reachlink.messaging import Bus, CallTimeoutError, MessagingError, decode, encode
-from reachlink.requests import PlaceAnswer, PlaceQuestion
+from reachlink.requests import PlacementQuery, PlacementReply
 from reachlink.scheduling import Refuse, Wait
 from reachlink.telemetry import get_logger
 
@@ -75,7 +75,7 @@
         self._lost_owners: dict[str, asyncio.Event] = {}
         self._log: Any = get_logger()
 
-    async def ask(self, query: PlaceQuestion) -> PlaceAnswer | None:
+    async def ask(self, query: PlacementQuery) -> PlacementReply | None:
         """Return the reply of the queue's owner, or None if this instance should decide.
 
         An owner that has just started does not queue requests and decides only if no other
@@ -85,7 +85,7 @@
         self._count("silent" if answer is None else _outcome_of(answer))
         return answer
 
-    async def _ask_owners(self, query: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_owners(self, query: PlacementQuery) -> PlacementReply | None:
         owners = self._owners(query.service)
         answer, not_ready = await ask_in_order(owners, lambda owner: self._ask_owner(owner, query))
         if answer is not None:
@@ -94,16 +94,18 @@
             return await self._queue_locally(query)
         if not_ready.name == self._name:
             return None
-        forced = structs.replace(query, insist=True, hold_s=0.0)
+        forced = structs.replace(query, force_decision=True, hold_s=0.0)
         answer = await self._ask_one(not_ready, forced)
-        return answer if answer is not None and answer.settled else None
+        return answer if answer is not None and answer.ready else None
 
-    async def _ask_owner(self, owner: InstanceRecord, query: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_owner(
+        self, owner: InstanceRecord, query: PlacementQuery
+    ) -> PlacementReply | None:
         """Return the reply of an owner, which may be this instance itself."""
         if owner.name != self._name:
             return await self._ask_one(owner, query)
         if not self._is_ready():
-            return PlaceAnswer(settled=False)
+            return PlacementReply(ready=False)
         return await self._own.answer_local(query)
 
     def _owners(self, service: str) -> list[InstanceRecord]:
@@ -112,15 +114,15 @@
             return self._selector.owners(service, now)
         return self._selector.owners_over_zones(service, now, self._silent_zones())
 
-    async def _queue_locally(self, query: PlaceQuestion) -> PlaceAnswer:
+    async def _queue_locally(self, query: PlacementQuery) -> PlacementReply:
         if not query.hold_s:
             self._log.info("line_kept_alone", request_id=query.request_id)
         return await self._own.answer_local(query)
 
-    async def _ask_one(self, owner: InstanceRecord, query: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask_one(self, owner: InstanceRecord, query: PlacementQuery) -> PlacementReply | None:
         try:
             raw = await self._call(owner, query)
-            return decode(raw, PlaceAnswer)
+            return decode(raw, PlacementReply)
         except _LostMeanwhileError:
             # The query that found the owner lost has already recorded it.
             self._send_left(owner, query)
@@ -133,12 +135,12 @@
             self._send_left(owner, query)
             raise
 
-    def _send_left(self, owner: InstanceRecord, query: PlaceQuestion) -> None:
+    def _send_left(self, owner: InstanceRecord, query: PlacementQuery) -> None:
         """Tell an owner to drop a request: a place granted to it would stay unused."""
         left = QueueLeft(query.service, query.request_id)
         self._bus.send(owner.address, CHANNEL_QUEUE_LEFT, encode(left))
 
-    async def _call(self, owner: InstanceRecord, query: PlaceQuestion) -> bytes:
+    async def _call(self, owner: InstanceRecord, query: PlacementQuery) -> bytes:
         hold_s = query.hold_s or 0.0
         call = self._bus.call(owner.address, CHANNEL_PLACE, encode(query), REPLY_TIMEOUT_S + hold_s)
         if hold_s <= 0.0:
@@ -166,9 +168,9 @@
         self._log.info("line_owner_silent", owner=owner.name, reason=reason)
 
 
-def _outcome_of(answer: PlaceAnswer) -> str:
+def _outcome_of(answer: PlacementReply) -> str:
     if answer.replica is not None:
         return "placed"
-    if isinstance(answer.otherwise, Wait):
+    if isinstance(answer.wait_or_refuse, Wait):
         return "waits"
-    return "refused" if isinstance(answer.otherwise, Refuse) else "no_room"
+    return "refused" if isinstance(answer.wait_or_refuse, Refuse) else "no_room"
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -12,11 +12,11 @@
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
     ListedReplica,
-    PlaceAnswer,
-    PlaceQuestion,
-    Placing,
-    ReplicaBook,
-    SharedLoad,
+    PeerLoad,
+    PlacementQuery,
+    PlacementReply,
+    Placer,
+    ReplicaTracker,
 )
 from reachlink.routing import Service
 from reachlink.scheduling import EMPTY_QUEUE, Begin, Need, QueuedRequest, QueueState
@@ -56,9 +56,9 @@
     def __init__(
         self,
         name: str,
-        placing: Placing,
-        book: ReplicaBook,
-        shared: SharedLoad,
+        placing: Placer,
+        book: ReplicaTracker,
+        shared: PeerLoad,
         directory: ReplicaDirectory,
         outcomes: QueueOutcomes,
         clock: Callable[[], float],
@@ -75,8 +75,8 @@
         self._clock = clock
 
     def start_immediately(
-        self, queue: ServiceQueue, service: Service, query: PlaceQuestion, need: Need
-    ) -> PlaceAnswer | None:
+        self, queue: ServiceQueue, service: Service, query: PlacementQuery, need: Need
+    ) -> PlacementReply | None:
         """Place a request if the queue is empty and there is room; return None otherwise."""
         if len(queue.requests):
             return None
@@ -88,7 +88,7 @@
         self._outcomes.record_decision(
             queue, query.request_id, need, Begin(replica.name), EMPTY_QUEUE
         )
-        return PlaceAnswer(settled=True, replica=replica)
+        return PlacementReply(ready=True, replica=replica)
 
     def grant_in_order(self, queue: ServiceQueue, service: Service, now: float) -> None:
         """Grant the room that there is to queued requests."""
@@ -98,7 +98,7 @@
                 return
 
     def has_room(
-        self, queue: ServiceQueue, service: Service, query: PlaceQuestion, now: float
+        self, queue: ServiceQueue, service: Service, query: PlacementQuery, now: float
     ) -> bool:
         """Return whether there is room for a request, regardless of requests ahead of it."""
         queue.unfit.drop_expired(now)
@@ -142,7 +142,7 @@
                 return True
         return False
 
-    def _reserved_replicas(self, service: Service, query: PlaceQuestion) -> frozenset[str]:
+    def _reserved_replicas(self, service: Service, query: PlacementQuery) -> frozenset[str]:
         """Return the replicas whose room is reserved for a request that may go there."""
         live = self._directory.live(service.name)
         zones = query.zones
@@ -171,14 +171,14 @@
         if replica is None:
             queue.unfit.add(held.query)
             return False
-        queue.answer(waiting.request_id, PlaceAnswer(settled=True, replica=replica))
+        queue.answer(waiting.request_id, PlacementReply(ready=True, replica=replica))
         return True
 
     def record_grant(
         self,
         queue: ServiceQueue,
         waiting: QueuedRequest,
-        query: PlaceQuestion,
+        query: PlacementQuery,
         name: str,
         now: float,
     ) -> ListedReplica | None:
@@ -191,20 +191,20 @@
         self._outcomes.record_granted(queue, waiting, replica.name, state, now)
         return replica
 
-    def _start_now(self, service: Service, query: PlaceQuestion) -> ListedReplica | None:
+    def _start_now(self, service: Service, query: PlacementQuery) -> ListedReplica | None:
         """Return the replica where a request starts now and add its load; None without room."""
         start = self._placing.start(service, query)
         return self._reserve(query, start.replica) if isinstance(start, Begin) else None
 
-    def _reserve(self, query: PlaceQuestion, name: str) -> ListedReplica | None:
+    def _reserve(self, query: PlacementQuery, name: str) -> ListedReplica | None:
         replica = self._directory.find(name)
         if replica is None:
             return None
         if query.instance != self._name:
-            self._recent_grants.add(query.instance, query.occupies(name))
-            self._book.touch()
+            self._recent_grants.add(query.instance, query.usage_at(name))
+            self._book.notify_listeners()
         else:
-            self._shared.add(self._name, query.occupies(name), self._clock())
+            self._shared.add(self._name, query.usage_at(name), self._clock())
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
--- a/reachlink/coordination/_queue_outcomes.py
+++ b/reachlink/coordination/_queue_outcomes.py
@@ -9,7 +9,7 @@
 
 from reachlink.coordination._caller_retry_ledger import CallerRetryLedger
 from reachlink.coordination._service_queue import ServiceQueue
-from reachlink.requests import PlaceAnswer, PlaceQuestion
+from reachlink.requests import PlacementQuery, PlacementReply
 from reachlink.scheduling import (
     Begin,
     CallerRetryCounts,
@@ -56,8 +56,8 @@
         return self._ledger.registry.reserved_tokens(service, now)
 
     def record_arrival(
-        self, queue: ServiceQueue, query: PlaceQuestion
-    ) -> tuple[PlaceQuestion, Need]:
+        self, queue: ServiceQueue, query: PlacementQuery
+    ) -> tuple[PlacementQuery, Need]:
         """Record the first query about a request; return it and the need, with its reservation."""
         need, reservation = self._ledger.on_arrival(query)
         query = structs.replace(query, need=need)
@@ -82,7 +82,7 @@
 
     def refuse(
         self, queue: ServiceQueue, waiting: QueuedRequest, reason: RefusalReason, now: float
-    ) -> PlaceAnswer:
+    ) -> PlacementReply:
         """Refuse a request that was queued; return the reply to it."""
         state = queue.requests.state_ahead_of(waiting, now)
         left = waiting.need_at(now)
@@ -91,7 +91,7 @@
         told = self.record_decision(queue, waiting.request_id, left, found, state)
         self._count(queue.service, reason.value)
         self.record_left(queue, waiting, reason.value)
-        return PlaceAnswer(settled=True, otherwise=told)
+        return PlacementReply(ready=True, wait_or_refuse=told)
 
     def record_joined(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> None:
         """Record that a request has joined the queue."""
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -19,11 +19,11 @@
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
 from reachlink.requests import (
-    PlaceAnswer,
-    PlaceQuestion,
-    Placing,
-    ReplicaBook,
-    SharedLoad,
+    PeerLoad,
+    PlacementQuery,
+    PlacementReply,
+    Placer,
+    ReplicaTracker,
 )
 from reachlink.routing import Service
 from reachlink.scheduling import (
@@ -81,9 +81,9 @@
     def __init__(
         self,
         name: str,
-        placing: Placing,
-        book: ReplicaBook,
-        shared: SharedLoad,
+        placing: Placer,
+        book: ReplicaTracker,
+        shared: PeerLoad,
         directory: ReplicaDirectory,
         services: Callable[[], list[Service]],
         count: Callable[[str, str], None] = lambda service, outcome: None,
@@ -104,7 +104,7 @@
         self._queues: dict[str, ServiceQueue] = {}
         self._changed = asyncio.Event()
         self._scan_task: asyncio.Task[None] | None = None
-        book.listen(self.wake)
+        book.add_listener(self.wake)
         self._log: Any = get_logger()
 
     @property
@@ -128,7 +128,7 @@
         if self._scan_task is not None:
             self._changed.set()
 
-    async def answer(self, query: PlaceQuestion) -> PlaceAnswer:
+    async def answer(self, query: PlacementQuery) -> PlacementReply:
         """Return the placement of a request, held until there is room or its hold time is over.
 
         Parameters
@@ -139,14 +139,14 @@
         service = self._service(query.service)
         need = query.need
         if service is None or need is None or not _fits_empty_replica(service, need):
-            return PlaceAnswer(settled=True)
+            return PlacementReply(ready=True)
         queue = self._queues.setdefault(service.name, ServiceQueue(service.name))
         if queue.requests.find(query.request_id) is None:
             query, need = self._outcomes.record_arrival(queue, query)
         begun = self._grants.start_immediately(queue, service, query, need)
         return begun or await self._enqueue(queue, service, query, need)
 
-    async def answer_local(self, query: PlaceQuestion) -> PlaceAnswer:
+    async def answer_local(self, query: PlacementQuery) -> PlacementReply:
         """Return the placement of a request of this instance; see `answer`."""
         try:
             answer = await self.answer(structs.replace(query, instance=self._name))
@@ -171,8 +171,8 @@
         return next((s for s in self._services() if s.name == name), None)
 
     async def _enqueue(
-        self, queue: ServiceQueue, service: Service, query: PlaceQuestion, need: Need
-    ) -> PlaceAnswer:
+        self, queue: ServiceQueue, service: Service, query: PlacementQuery, need: Need
+    ) -> PlacementReply:
         now = self._clock()
         hold_s = min(query.hold_s or 0.0, MAX_HOLD_S)
         known = queue.requests.find(query.request_id) is not None
@@ -185,7 +185,7 @@
         if isinstance(start, Begin):
             replica = self._grants.record_grant(queue, waiting, query, start.replica, now)
             if replica is not None:
-                return PlaceAnswer(settled=True, replica=replica)
+                return PlacementReply(ready=True, replica=replica)
         if isinstance(start, Refuse) and (not known or self._is_hopeless(queue, waiting, now)):
             answer = self._outcomes.refuse(queue, waiting, start.reason, now)
             queue.requests.leave(waiting.request_id, now)
@@ -201,7 +201,7 @@
         self,
         queue: ServiceQueue,
         service: Service,
-        query: PlaceQuestion,
+        query: PlacementQuery,
         waiting: QueuedRequest,
         now: float,
     ) -> Start:
@@ -224,12 +224,12 @@
         )
 
     async def _hold(
-        self, queue: ServiceQueue, query: PlaceQuestion, waiting: QueuedRequest, hold_s: float
-    ) -> PlaceAnswer:
+        self, queue: ServiceQueue, query: PlacementQuery, waiting: QueuedRequest, hold_s: float
+    ) -> PlacementReply:
         """Return the reply once there is one, or after the hold time that the request waits."""
         # An earlier query about the request has timed out at its sender: end it first.
         queue.answer_without_place(query.request_id, Wait(0.0))
-        future: asyncio.Future[PlaceAnswer] = asyncio.get_running_loop().create_future()
+        future: asyncio.Future[PlacementReply] = asyncio.get_running_loop().create_future()
         held = HeldQuery(query, self._clock() + hold_s, future)
         queue.held_queries[query.request_id] = held
         try:
@@ -241,10 +241,12 @@
             future.result() if future.done() else self._wait_answer(queue, waiting, self._clock())
         )
 
-    def _wait_answer(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> PlaceAnswer:
+    def _wait_answer(
+        self, queue: ServiceQueue, waiting: QueuedRequest, now: float
+    ) -> PlacementReply:
         state = queue.requests.state_ahead_of(waiting, now)
         in_s = expected_wait_s(waiting.need, state)
-        return PlaceAnswer(settled=True, otherwise=Wait(in_s, state.ahead))
+        return PlacementReply(ready=True, wait_or_refuse=Wait(in_s, state.ahead))
 
     def _shed_excess(self, queue: ServiceQueue, now: float) -> None:
         while (shed := queue.requests.shed(now)) is not None:
--- a/reachlink/coordination/_recent_grants.py
+++ b/reachlink/coordination/_recent_grants.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from reachlink.requests import LoadNote, ReplicaShare, SharedLoad, total
+from reachlink.requests import LoadUpdate, PeerLoad, ReplicaUsage, sum_usages
 
 # An instance whose last update is not older than this reports its load to this coordinator, in
 # seconds: each instance sends an update at least once a second.
@@ -29,13 +29,13 @@
         Returns the monotonic time in seconds.
     """
 
-    def __init__(self, shared: SharedLoad, clock: Callable[[], float]) -> None:
+    def __init__(self, shared: PeerLoad, clock: Callable[[], float]) -> None:
         self._shared = shared
         self._clock = clock
-        self._grants: deque[tuple[float, ReplicaShare]] = deque()
+        self._grants: deque[tuple[float, ReplicaUsage]] = deque()
         self._expiry_timer: asyncio.TimerHandle | None = None
 
-    def add(self, instance: str, usage: ReplicaShare) -> None:
+    def add(self, instance: str, usage: ReplicaUsage) -> None:
         """Add the load that a grant to an instance puts on a replica."""
         now = self._clock()
         if now - self._shared.last_heard(instance) < REPORTS_HERE_S:
@@ -53,10 +53,12 @@
         self._update_total(now)
 
     def _update_total(self, now: float) -> None:
-        usages: dict[str, list[ReplicaShare]] = {}
+        usages: dict[str, list[ReplicaUsage]] = {}
         for _, usage in self._grants:
             usages.setdefault(usage.replica, []).append(usage)
-        self._shared.take(LoadNote(RECENT_GRANTS, [total(found) for found in usages.values()]), now)
+        self._shared.update(
+            LoadUpdate(RECENT_GRANTS, [sum_usages(found) for found in usages.values()]), now
+        )
         if self._grants and self._expiry_timer is None:
             loop = asyncio.get_running_loop()
             left_s = max(MIN_EXPIRY_DELAY_S, self._grants[0][0] - now)
--- a/reachlink/coordination/_service_queue.py
+++ b/reachlink/coordination/_service_queue.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from reachlink.coordination._unfit_cache import UnfitCache
-from reachlink.requests import PlaceAnswer, PlaceQuestion
+from reachlink.requests import PlacementQuery, PlacementReply
 from reachlink.scheduling import Refuse, RequestQueue, RetryReservation, Wait
 
 
@@ -22,9 +22,9 @@
         Future that receives the reply.
     """
 
-    query: PlaceQuestion
+    query: PlacementQuery
     until: float
-    answer: asyncio.Future[PlaceAnswer]
+    answer: asyncio.Future[PlacementReply]
 
 
 @dataclass(slots=True, eq=False)
@@ -49,14 +49,16 @@
     service: str
     requests: RequestQueue = field(default_factory=RequestQueue)
     held_queries: dict[str, HeldQuery] = field(default_factory=dict)
-    arrivals: dict[str, tuple[PlaceQuestion, RetryReservation | None]] = field(default_factory=dict)
+    arrivals: dict[str, tuple[PlacementQuery, RetryReservation | None]] = field(
+        default_factory=dict
+    )
     unfit: UnfitCache = field(default_factory=UnfitCache)
 
     def answer_without_place(self, request_id: str, otherwise: Wait | Refuse) -> None:
         """Reply to a held query that its request should wait or is refused."""
-        self.answer(request_id, PlaceAnswer(settled=True, otherwise=otherwise))
+        self.answer(request_id, PlacementReply(ready=True, wait_or_refuse=otherwise))
 
-    def answer(self, request_id: str, answer: PlaceAnswer) -> None:
+    def answer(self, request_id: str, answer: PlacementReply) -> None:
         """Reply to the held query about a request, if there is one."""
         held = self.held_queries.pop(request_id, None)
         if held is not None and not held.answer.done():
--- a/reachlink/coordination/tests/test_caller_retry_ledger.py
+++ b/reachlink/coordination/tests/test_caller_retry_ledger.py
@@ -5,7 +5,7 @@
 
 from reachlink.coordination import CallerRetryLedger
 from reachlink.coordination import _caller_retry_ledger as ledger_module
-from reachlink.requests import PlaceQuestion, Purpose
+from reachlink.requests import PlacementPurpose, PlacementQuery
 from reachlink.scheduling import Begin, Need, QueueState, RefusalReason, Refuse
 
 LINE = QueueState(7, 30_000, 10_000.0)
@@ -29,10 +29,16 @@
     return CallerRetryLedger(clock)
 
 
-def make_query(request_id: str, fingerprint: int = 77) -> PlaceQuestion:
+def make_query(request_id: str, fingerprint: int = 77) -> PlacementQuery:
     need = Need(tokens=2000, workspace="w1", give_up_in_s=30.0)
-    return PlaceQuestion(
-        "edge-1", request_id, "chat", Purpose.REQUEST, 2000, need=need, fingerprint=fingerprint
+    return PlacementQuery(
+        "edge-1",
+        request_id,
+        "chat",
+        PlacementPurpose.REQUEST,
+        2000,
+        need=need,
+        fingerprint=fingerprint,
     )
 
 
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -4,7 +4,7 @@
 
 from reachlink.coordination.tests.world import SERVICE, Instance, make_fleet, make_query
 from reachlink.membership import LeavingSource
-from reachlink.requests import Purpose, ReplicaOutcome
+from reachlink.requests import PlacementPurpose, ReplicaOutcome
 from reachlink.requests.tests.world import wait_until
 
 
@@ -21,8 +21,8 @@
 
     m2, now = asyncio.run(scenario())
     assert sorted(r.name for r in m2.directory.live("chat")) == ["r1", "r2"]
-    assert m2.shared.at("r1", now).tokens == 9_000
-    assert m2.shared.at("r2", now).tokens == 4_000
+    assert m2.shared.usage_at("r1", now).tokens == 9_000
+    assert m2.shared.usage_at("r2", now).tokens == 4_000
 
 
 def test_partial_snapshot_contains_only_replicas_with_own_requests():
@@ -34,10 +34,10 @@
         c1.start_request("r1", 1_000)
         c1.start_request("r2", 2_000)
         await m1.poll_coordinator()
-        between = [m1.shared.at(name, network.now).tokens for name in ("r1", "r2")]
+        between = [m1.shared.usage_at(name, network.now).tokens for name in ("r1", "r2")]
         network.now += 1.0
         await m1.poll_coordinator()
-        return between, [m1.shared.at(name, network.now).tokens for name in ("r1", "r2")]
+        return between, [m1.shared.usage_at(name, network.now).tokens for name in ("r1", "r2")]
 
     between, later = asyncio.run(scenario())
     assert between == [1_000, 4_000]
@@ -61,7 +61,7 @@
         m1.start_request("r1")
         await m1.poll_coordinator()
         await m1.poll_coordinator()
-        return m1.shared.at("r1", network.now)
+        return m1.shared.usage_at("r1", network.now)
 
     share = asyncio.run(scenario())
     assert (share.running, share.tokens) == (0, 0)
@@ -85,7 +85,7 @@
         answer = await m1.member.ask(make_query())
         m1.start_request(answer.replica.name)
         await m1.poll_coordinator()
-        return c1.shared.at(answer.replica.name, network.now)
+        return c1.shared.usage_at(answer.replica.name, network.now)
 
     share = asyncio.run(scenario())
     assert (share.running, share.tokens) == (1, 9_000)
@@ -142,11 +142,11 @@
     async def scenario():
         network, (c1,), (m1, m2) = make_fleet(coordinators=1)
         for member in (m1, m2):
-            member.book.keep_outcome(ReplicaOutcome("r1", good=False, answered=False))
+            member.book.keep_outcome(ReplicaOutcome("r1", succeeded=False, answered=False))
             await member.poll_coordinator()
         answers = [await m1.member.ask(make_query(1_000)) for _ in range(4)]
         await m2.poll_coordinator()
-        return answers, m2.book.state("r1").allowance_told(network.now)
+        return answers, m2.book.state("r1").allowance_from_coordinator(network.now)
 
     answers, allowance = asyncio.run(scenario())
     assert {answer.replica.name for answer in answers} == {"r2"}
@@ -196,7 +196,7 @@
         return [await place_copy(m1) for _ in range(4)]
 
     async def place_copy(instance: Instance):
-        answer = await instance.member.ask(make_query(1_000, Purpose.RESCUE))
+        answer = await instance.member.ask(make_query(1_000, PlacementPurpose.DEPARTURE_COPY))
         assert answer is not None
         return instance.placing._replica_of(answer)
 
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -13,7 +13,7 @@
 from reachlink.coordination.tests.world import REPLICAS, Instance, Network, make_fleet
 from reachlink.membership import ListedInstance
 from reachlink.messaging import decode, encode
-from reachlink.requests import LoadNote
+from reachlink.requests import LoadUpdate
 from reachlink.scheduling import PaceUpdate
 
 SERVICE = "chat"
@@ -29,8 +29,8 @@
 
 def send_to_peer(teller: Instance, listener: Instance) -> list[PaceUpdate]:
     """Encode, decode and apply the update of one coordinator to another."""
-    note = LoadNote(teller.record.name, [], paces=teller.paces.updates_for_peers())
-    note = decode(encode(note), LoadNote)
+    note = LoadUpdate(teller.record.name, [], paces=teller.paces.updates_for_peers())
+    note = decode(encode(note), LoadUpdate)
     listener.paces.apply_from_coordinator(note.instance, note.paces)
     return note.paces
 
@@ -125,7 +125,7 @@
 def test_pace_of_earlier_lifetime_is_ignored_and_of_new_lifetime_replaces_estimate():
     c1 = single_coordinator()
     started: list[str] = []
-    c1.directory.on_started_again(lambda name: (started.append(name), c1.book.start_again(name)))
+    c1.directory.on_started_again(lambda name: (started.append(name), c1.book.reset_replica(name)))
     c1.directory.note_born("r1", 2_000, c1.clock())
     c1.paces.apply_from_coordinator("c2", [PaceUpdate("r1", 55, born=1_000)])
     assert (steady(c1, "r1"), started) == (1.0, [])
@@ -189,7 +189,7 @@
 
 
 def test_updates_without_paces_are_decoded():
-    assert decode(encode(["c1", []]), LoadNote).paces == []
+    assert decode(encode(["c1", []]), LoadUpdate).paces == []
     assert decode(encode(["c1", []]), CoordinatorSnapshot).paces == []
 
 
--- a/reachlink/coordination/tests/test_queue.py
+++ b/reachlink/coordination/tests/test_queue.py
@@ -8,7 +8,7 @@
 import pytest
 
 from reachlink.coordination.tests.world import SERVICE, Instance, Network, make_fleet, make_query
-from reachlink.requests import LoadNote, PlaceAnswer, PlaceQuestion
+from reachlink.requests import LoadUpdate, PlacementQuery, PlacementReply
 from reachlink.scheduling import MAX_QUEUED, Need, RefusalReason, Refuse, Wait
 from reachlink.testing import run_virtually
 
@@ -23,7 +23,7 @@
     first_event_due_in_s: float = 4.0,
     give_up_in_s: float = 30.0,
     waited_s: float = 0.0,
-) -> PlaceQuestion:
+) -> PlacementQuery:
     need = Need(
         tokens=tokens,
         prompt_tokens=3_000,
@@ -53,16 +53,16 @@
     for sender in chosen:
         for receiver in chosen:
             if receiver is not sender:
-                receiver.shared.take(make_load_update(sender, now), now)
+                receiver.shared.update(make_load_update(sender, now), now)
 
 
-def make_load_update(sender: Instance, now: float) -> LoadNote:
-    return LoadNote(sender.record.name, sender.book.shares(now))
+def make_load_update(sender: Instance, now: float) -> LoadUpdate:
+    return LoadUpdate(sender.record.name, sender.book.usages(now))
 
 
 def end_requests(instance: Instance, replica: str) -> None:
     """End the requests of an instance at a replica."""
-    for flight in list(instance.book.state(replica).flights):
+    for flight in list(instance.book.state(replica).allocations):
         instance.book.remove(replica, flight)
 
 
@@ -111,8 +111,8 @@
         return await first, second
 
     first, second = run_scenario(scenario())
-    assert isinstance(first.otherwise, Wait) and first.otherwise.ahead == 0
-    assert isinstance(second.otherwise, Wait) and second.otherwise.ahead == 1
+    assert isinstance(first.wait_or_refuse, Wait) and first.wait_or_refuse.ahead == 0
+    assert isinstance(second.wait_or_refuse, Wait) and second.wait_or_refuse.ahead == 1
 
 
 def test_requests_of_all_instances_in_zone_wait_in_one_order():
@@ -181,7 +181,7 @@
     assert sorted(found) == ["", "r1", "r2"] and found[2] == ""
 
 
-async def gather(tasks: list[asyncio.Future[PlaceAnswer | None]]) -> list[PlaceAnswer]:
+async def gather(tasks: list[asyncio.Future[PlacementReply | None]]) -> list[PlacementReply]:
     found = await asyncio.gather(*tasks)
     assert None not in found
     return [answer for answer in found if answer is not None]
@@ -194,10 +194,10 @@
         network, chosen, (m1, _) = make_fleet(queues=True)
         owner = owner_of(m1, chosen, network.now)
         answer = await m1.member.ask(make_queued_query("id-1"))
-        at_once = owner.shared.at(answer.replica.name, network.now).tokens
+        at_once = owner.shared.usage_at(answer.replica.name, network.now).tokens
         network.now += 0.3
         await asyncio.sleep(0.3)
-        return at_once, owner.shared.at(answer.replica.name, network.now).tokens
+        return at_once, owner.shared.usage_at(answer.replica.name, network.now).tokens
 
     assert run_scenario(scenario()) == (9_000, 0)
 
@@ -206,14 +206,14 @@
     async def scenario():
         network, chosen, (m1, _) = make_fleet(queues=True)
         owner = owner_of(m1, chosen, network.now)
-        owner.shared.take(make_load_update(m1, network.now), network.now)
+        owner.shared.update(make_load_update(m1, network.now), network.now)
         answer = await m1.member.ask(make_queued_query("id-1"))
         network.now += 0.5
         await asyncio.sleep(0.5)
-        before = owner.shared.at(answer.replica.name, network.now).tokens
+        before = owner.shared.usage_at(answer.replica.name, network.now).tokens
         m1.start_request(answer.replica.name, 9_000)
-        owner.shared.take(make_load_update(m1, network.now), network.now)
-        return before, owner.shared.at(answer.replica.name, network.now).tokens
+        owner.shared.update(make_load_update(m1, network.now), network.now)
+        return before, owner.shared.usage_at(answer.replica.name, network.now).tokens
 
     assert run_scenario(scenario()) == (9_000, 9_000)
 
@@ -225,7 +225,9 @@
         answer = await owner.member.ask(make_queued_query("id-1"))
         owner.start_request(answer.replica.name, 9_000)
         (option,) = [
-            o for o in owner.placing.options.of(SERVICE, set()) if o.name == answer.replica.name
+            o
+            for o in owner.placing.options.for_service(SERVICE, set())
+            if o.name == answer.replica.name
         ]
         return option.tokens
 
@@ -252,8 +254,8 @@
         return late.result()
 
     answer = run_scenario(scenario())
-    assert isinstance(answer.otherwise, Refuse)
-    assert answer.otherwise.reason is RefusalReason.LINE_FULL
+    assert isinstance(answer.wait_or_refuse, Refuse)
+    assert answer.wait_or_refuse.reason is RefusalReason.LINE_FULL
 
 
 def test_smaller_requests_overtake_larger_one_only_for_limited_time():
@@ -281,7 +283,7 @@
 
     overtaking, blocked = run_scenario(scenario())
     assert overtaking.replica is not None
-    assert isinstance(blocked.otherwise, Wait)
+    assert isinstance(blocked.wait_or_refuse, Wait)
 
 
 def test_query_past_its_hold_time_gets_no_grant():
@@ -328,7 +330,7 @@
         return await m1.member.ask(make_queued_query("id-1", tokens=31_000))
 
     answer = run_scenario(scenario())
-    assert answer.replica is None and answer.otherwise is None
+    assert answer.replica is None and answer.wait_or_refuse is None
 
 
 def test_query_that_may_not_queue_gets_reply_without_queueing():
@@ -337,14 +339,14 @@
         return await m1.member.ask(make_query())
 
     answer = run_scenario(scenario())
-    assert answer.settled and answer.replica is None and answer.otherwise is None
+    assert answer.ready and answer.replica is None and answer.wait_or_refuse is None
 
 
 def test_announced_retry_goes_before_new_requests_of_same_class():
     network, chosen, others = full_fleet()
     owner = owner_of(others[0], chosen, network.now)
 
-    async def scenario() -> list[PlaceAnswer]:
+    async def scenario() -> list[PlacementReply]:
         fillers = [
             asyncio.ensure_future(
                 others[0].member.ask(make_queued_query(f"id-{number}", give_up_in_s=60.0))
@@ -356,12 +358,12 @@
             make_queued_query("first", first_event_due_in_s=-1.0, give_up_in_s=9.0), fingerprint=7
         )
         refused = await others[0].member.ask(first)
-        assert refused is not None and isinstance(refused.otherwise, Refuse)
+        assert refused is not None and isinstance(refused.wait_or_refuse, Refuse)
         await asyncio.sleep(HOLD_S)
         await asyncio.gather(*fillers)
         for task in fillers:
             owner.queue_owner.leave(SERVICE.name, f"id-{fillers.index(task)}")
-        await asyncio.sleep(max(0.0, refused.otherwise.retry_after_s - HOLD_S))
+        await asyncio.sleep(max(0.0, refused.wait_or_refuse.retry_after_s - HOLD_S))
         new_request = asyncio.ensure_future(
             others[0].member.ask(
                 make_queued_query("new", first_event_due_in_s=-1.0, give_up_in_s=9.0)
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -9,8 +9,8 @@
 
 from reachlink.coordination._asking import REPLY_TIMEOUT_S
 from reachlink.coordination.tests.world import SERVICE, Instance, make_fleet
-from reachlink.requests import CallerRequest, LoadNote, RequestFailedError
-from reachlink.requests._line_placing import LinePlacing
+from reachlink.requests import CallerRequest, LoadUpdate, RequestFailedError
+from reachlink.requests._queue_placer import QueuePlacer
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.routing import Backend, RequestKind, Route
 from reachlink.scheduling import Refuse
@@ -63,15 +63,15 @@
         """Exchange the loads of all instances that reach each other."""
         reachable = [i for i in self.instances if i.record.name not in self.network.silent]
         for sender in reachable:
-            note = LoadNote(sender.record.name, sender.book.shares(self.network.now))
+            note = LoadUpdate(sender.record.name, sender.book.usages(self.network.now))
             for receiver in reachable:
                 if receiver is not sender:
-                    receiver.shared.take(note, self.network.now)
+                    receiver.shared.update(note, self.network.now)
 
     def make_room(self) -> None:
         """End all requests that fill the replicas at the start."""
         for replica in ("r1", "r2"):
-            for flight in list(self.filler.book.state(replica).flights):
+            for flight in list(self.filler.book.state(replica).allocations):
                 self.filler.book.remove(replica, flight)
         self.exchange_loads()
 
@@ -84,7 +84,7 @@
         facts = GenerationFacts("m", 3000, tokens - 3000, (), 0)
         relay = RelayRequest(name, "POST", "/x", [], b"", generation=facts)
         request = CallerRequest(relay, ROUTE, SERVICE, self.network.now, TIMEOUT_S)
-        found = await LinePlacing(instance.parts, instance.placing).place(request, set())
+        found = await QueuePlacer(instance.parts, instance.placing).place(request, set())
         if isinstance(found, Replica):
             self.placed.append((name, found.name))
             instance.start_request(found.name, tokens)
--- a/reachlink/coordination/tests/test_queue_grants.py
+++ b/reachlink/coordination/tests/test_queue_grants.py
@@ -11,7 +11,7 @@
 from reachlink.coordination.tests.test_queue_failures import Simulation, run_scenario
 from reachlink.coordination.tests.test_queue_refusals import GRANT_RATE_KNOWN_S, fill_except
 from reachlink.membership import ListedInstance
-from reachlink.requests import PlaceAnswer, PlaceQuestion, ReplicaShare, SharedLoad
+from reachlink.requests import PeerLoad, PlacementQuery, PlacementReply, ReplicaUsage
 from reachlink.scheduling import Refuse, Wait
 from reachlink.testing import run_virtually
 
@@ -21,13 +21,13 @@
 ]
 
 
-def with_fields(query: PlaceQuestion, **fields: object) -> PlaceQuestion:
+def with_fields(query: PlacementQuery, **fields: object) -> PlacementQuery:
     return msgspec.structs.replace(query, **fields)
 
 
 def ask_all(
-    sim: Simulation, queries: list[PlaceQuestion]
-) -> list[asyncio.Future[PlaceAnswer | None]]:
+    sim: Simulation, queries: list[PlacementQuery]
+) -> list[asyncio.Future[PlacementReply | None]]:
     member = sim.others[0].member
     return [asyncio.ensure_future(member.ask(query)) for query in queries]
 
@@ -67,7 +67,7 @@
         await asyncio.sleep(0.5)
         second = make_queued_query("second", tokens=4_000, hold_s=0.3)
         blocked = await sim.others[1].member.ask(with_fields(second, excluded=("r1",)))
-        assert blocked is not None and isinstance(blocked.otherwise, Wait)
+        assert blocked is not None and isinstance(blocked.wait_or_refuse, Wait)
         waiting[0].cancel()
 
     run_scenario(scenario)
@@ -90,7 +90,7 @@
         await asyncio.sleep(0.5)
         second = make_queued_query("second", tokens=4_000, hold_s=0.3)
         blocked = await sim.others[1].member.ask(with_fields(second, zones=("a",)))
-        assert blocked is not None and isinstance(blocked.otherwise, Wait)
+        assert blocked is not None and isinstance(blocked.wait_or_refuse, Wait)
         for task in waiting:
             task.cancel()
 
@@ -144,7 +144,7 @@
         await asyncio.sleep(0.05)
         queue_owner, options = sim.owner.queue_owner, sim.owner.placing._options
         assert queue_owner is not None
-        with patch.object(options, "of", wraps=options.of) as compared:
+        with patch.object(options, "for_service", wraps=options.for_service) as compared:
             queue_owner._scan(queue_owner._queues["chat"])
             assert compared.call_count == 1
         for task in tasks:
@@ -163,7 +163,7 @@
         queries = [make_queued_query(f"late-{n}", give_up_in_s=2.0, hold_s=0.0) for n in range(20)]
         with patch.object(placing, "has_room", wraps=placing.has_room) as compared:
             answers = await asyncio.gather(*ask_all(sim, queries))
-        assert all(a is not None and isinstance(a.otherwise, Refuse) for a in answers)
+        assert all(a is not None and isinstance(a.wait_or_refuse, Refuse) for a in answers)
         assert compared.call_count <= 1
 
     run_scenario(scenario)
@@ -172,15 +172,15 @@
 def test_each_grant_counts_for_its_own_time_only():
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        shared = SharedLoad()
+        shared = PeerLoad()
         grants = RecentGrants(shared, loop.time)
         counts = []
         for _ in range(2):
-            grants.add("m1", ReplicaShare("r1", running=1, tokens=1_000))
-            counts.append(shared.at("r1", loop.time()).tokens)
+            grants.add("m1", ReplicaUsage("r1", running=1, tokens=1_000))
+            counts.append(shared.usage_at("r1", loop.time()).tokens)
             await asyncio.sleep(0.8 * GRANT_COUNTED_S)
         for _ in range(2):
-            counts.append(shared.at("r1", loop.time()).tokens)
+            counts.append(shared.usage_at("r1", loop.time()).tokens)
             await asyncio.sleep(0.25 * GRANT_COUNTED_S)
         assert counts == [1_000, 2_000, 1_000, 0]
 
--- a/reachlink/coordination/tests/test_queue_refusals.py
+++ b/reachlink/coordination/tests/test_queue_refusals.py
@@ -7,7 +7,7 @@
 
 from reachlink.coordination.tests.test_queue import make_queued_query
 from reachlink.coordination.tests.test_queue_failures import Simulation, enqueue_all, run_scenario
-from reachlink.requests import PlaceQuestion
+from reachlink.requests import PlacementQuery
 from reachlink.scheduling import RefusalReason, Refuse, Wait
 
 # Time in seconds after which the rate at which room becomes free is known.
@@ -23,8 +23,8 @@
             "long", tokens=8_000, hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0
         )
         answer = await sim.others[1].member.ask(long)
-        assert answer is not None and isinstance(answer.otherwise, Wait)
-        assert 5.0 < answer.otherwise.expected_wait_s < 15.0
+        assert answer is not None and isinstance(answer.wait_or_refuse, Wait)
+        assert 5.0 < answer.wait_or_refuse.expected_wait_s < 15.0
 
     run_scenario(scenario)
 
@@ -44,7 +44,7 @@
         await asyncio.sleep(GRANT_RATE_KNOWN_S)
         small = make_queued_query("small", tokens=4_000, hold_s=0.0, give_up_in_s=6.0)
         answer = await sim.others[1].member.ask(small)
-        assert answer is not None and isinstance(answer.otherwise, Wait)
+        assert answer is not None and isinstance(answer.wait_or_refuse, Wait)
         again = make_queued_query("small", tokens=4_000, hold_s=0.5, give_up_in_s=6.0)
         answer = await sim.others[1].member.ask(again)
         assert answer is not None and answer.replica is not None
@@ -64,14 +64,14 @@
         )
         others = [asyncio.ensure_future(second.member.ask(younger))]
         refused = await waiting
-        assert refused is not None and isinstance(refused.otherwise, Refuse)
+        assert refused is not None and isinstance(refused.wait_or_refuse, Refuse)
         others.append(asyncio.ensure_future(second.member.ask(younger)))
-        await asyncio.sleep(refused.otherwise.retry_after_s)
+        await asyncio.sleep(refused.wait_or_refuse.retry_after_s)
         back = make_queued_query("back", hold_s=0.0, first_event_due_in_s=50.0, give_up_in_s=60.0)
         back = msgspec.structs.replace(back, fingerprint=7)
         answer = await first.member.ask(back)
-        assert answer is not None and isinstance(answer.otherwise, Wait)
-        assert answer.otherwise.ahead == 0
+        assert answer is not None and isinstance(answer.wait_or_refuse, Wait)
+        assert answer.wait_or_refuse.ahead == 0
         await asyncio.gather(*others)
 
     run_scenario(scenario)
@@ -100,15 +100,15 @@
             make_queued_query("older", hold_s=0.0, first_event_due_in_s=50.0, waited_s=3.0)
         )
         answer = await first.member.ask(back)
-        assert answer is not None and isinstance(answer.otherwise, Wait)
-        assert answer.otherwise.ahead == 0
+        assert answer is not None and isinstance(answer.wait_or_refuse, Wait)
+        assert answer.wait_or_refuse.ahead == 0
 
     run_scenario(scenario)
 
 
 def make_query_of(
     workspace: str, request_id: str, tokens: int, hold_s: float = 0.5
-) -> PlaceQuestion:
+) -> PlacementQuery:
     query = make_queued_query(request_id, tokens=tokens, hold_s=hold_s, give_up_in_s=200.0)
     assert query.need is not None
     need = msgspec.structs.replace(query.need, workspace=workspace)
@@ -129,9 +129,9 @@
         with capture_logs() as logs:
             large = await sim.others[1].member.ask(make_query_of("large", "new", 6_000, 0.0))
             small = await sim.others[1].member.ask(make_query_of("small", "other", 6_000, 0.0))
-        assert large is not None and isinstance(large.otherwise, Refuse)
-        assert large.otherwise.reason is RefusalReason.OVER_SHARE
-        assert small is not None and isinstance(small.otherwise, Wait)
+        assert large is not None and isinstance(large.wait_or_refuse, Refuse)
+        assert large.wait_or_refuse.reason is RefusalReason.OVER_SHARE
+        assert small is not None and isinstance(small.wait_or_refuse, Wait)
         assert sim.owner.queue_outcomes == ["over_share"]
         (line,) = [line for line in logs if line["event"] == "refused"]
         assert (line["reason"], line["workspace"]) == ("over_share", "large")
@@ -144,6 +144,6 @@
         fill_except(sim, 5_000)
         await queue_large_workspace(sim)
         answer = await sim.others[1].member.ask(make_query_of("large", "new", 4_000, 0.0))
-        assert answer is not None and isinstance(answer.otherwise, Wait)
+        assert answer is not None and isinstance(answer.wait_or_refuse, Wait)
 
     run_scenario(scenario)
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -19,13 +19,13 @@
 from reachlink.pacing import PacingTracker
 from reachlink.quarantine import Quarantine
 from reachlink.requests import (
-    Flight,
-    PlaceQuestion,
-    Placing,
-    Purpose,
-    ReplicaBook,
+    Allocation,
+    PeerLoad,
+    PlacementPurpose,
+    PlacementQuery,
+    Placer,
+    ReplicaTracker,
     RunnerParts,
-    SharedLoad,
 )
 from reachlink.requests.tests.world import FakeAdapter
 from reachlink.routing import EngineLimits, Service
@@ -103,8 +103,8 @@
     ) -> None:
         self.record = InstanceRecord(name, name, zone)
         self.network = network
-        self.book = ReplicaBook()
-        self.shared = SharedLoad()
+        self.book = ReplicaTracker()
+        self.shared = PeerLoad()
         self.directory = ReplicaDirectory()
         self.selector = CoordinatorSelector(name, zone)
         self.news: list[object] = []
@@ -156,7 +156,7 @@
             quarantine=self.quarantine,
             scheduling=SchedulingSettings(line=queues),
         )
-        self.placing = Placing(self.parts)
+        self.placing = Placer(self.parts)
         self.queue_outcomes: list[str] = []
         self.queue_owner = self._make_queue_owner() if queues else None
         self.silent_zones: set[str] = set()
@@ -220,9 +220,9 @@
         coordinator = self.selector.by_preference(self.network.now)[0]
         await self.member._poll_once(coordinator)
 
-    def start_request(self, replica: str, tokens: int = 9_000) -> Flight:
+    def start_request(self, replica: str, tokens: int = 9_000) -> Allocation:
         """Start a request at a replica."""
-        flight = Flight(f"{self.record.name}-{replica}", tokens, used_tokens=tokens)
+        flight = Allocation(f"{self.record.name}-{replica}", tokens, used_tokens=tokens)
         self.book.add(replica, flight)
         return flight
 
@@ -242,5 +242,7 @@
     return network, chosen, others
 
 
-def make_query(tokens: int = 9_000, purpose: Purpose = Purpose.REQUEST) -> PlaceQuestion:
-    return PlaceQuestion("", "id-1", "chat", purpose, tokens, prompt_tokens=3_000, zone="a")
+def make_query(
+    tokens: int = 9_000, purpose: PlacementPurpose = PlacementPurpose.REQUEST
+) -> PlacementQuery:
+    return PlacementQuery("", "id-1", "chat", purpose, tokens, prompt_tokens=3_000, zone="a")
--- a/reachlink/entry/_isolation.py
+++ b/reachlink/entry/_isolation.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from reachlink.membership import InstanceRecord
-from reachlink.requests import SharedLoad
+from reachlink.requests import PeerLoad
 
 # How long all instances of a zone must be silent, and its replicas give no answer,
 # in seconds: each instance tells something once a second at least.
@@ -48,7 +48,7 @@
     ----------
     zone : str
         This instance's availability zone.
-    shared : SharedLoad
+    shared : PeerLoad
         Knows when each instance was heard last.
     answered_at : callable
         Returns when a replica of a zone answered last, in monotonic seconds.
@@ -57,7 +57,7 @@
     def __init__(
         self,
         zone: str,
-        shared: SharedLoad,
+        shared: PeerLoad,
         answered_at: Callable[[str], float] = lambda zone: float("-inf"),
     ) -> None:
         self._zone = zone
--- a/reachlink/entry/_load_teller.py
+++ b/reachlink/entry/_load_teller.py
@@ -12,7 +12,7 @@
 from reachlink.entry._report_reader import ReportReader
 from reachlink.membership import InstanceRecord
 from reachlink.messaging import Bus, decode, encode
-from reachlink.requests import LoadNote, ReplicaBook, ReplicaShare, SharedLoad
+from reachlink.requests import LoadUpdate, PeerLoad, ReplicaTracker, ReplicaUsage
 
 CHANNEL_LOAD = "load"
 # Shortest time between two notes, in seconds, and what each peer that is told adds.
@@ -31,11 +31,11 @@
         This instance.
     bus : Bus
         Where notes go.
-    book : ReplicaBook
+    book : ReplicaTracker
         Counts changes that the others should know soon.
     shares : callable
         Returns the requests of this instance and its members.
-    shared : SharedLoad
+    shared : PeerLoad
         Where the others' requests are noted.
     reports : ReportReader
         Reads replicas' reports, and takes what the others read.
@@ -55,9 +55,9 @@
         self,
         name: str,
         bus: Bus,
-        book: ReplicaBook,
-        shares: Callable[[], list[ReplicaShare]],
-        shared: SharedLoad,
+        book: ReplicaTracker,
+        shares: Callable[[], list[ReplicaUsage]],
+        shared: PeerLoad,
         reports: ReportReader,
         listed: ListNews,
         quarantine: QuarantineExchange,
@@ -77,7 +77,7 @@
         self._clock = clock
         self._peers: list[InstanceRecord] = []
         self._changed = asyncio.Event()
-        book.listen(self._changed.set)
+        book.add_listener(self._changed.set)
         bus.handle(CHANNEL_LOAD, self._on_note)
 
     @property
@@ -123,11 +123,11 @@
         for peer in self._peers:
             self._bus.send(peer.address, CHANNEL_LOAD, note)
 
-    def _note(self) -> LoadNote:
-        return LoadNote(
+    def _note(self) -> LoadUpdate:
+        return LoadUpdate(
             instance=self._name,
-            shares=self._shares(),
-            news=self._reports.news(),
+            usages=self._shares(),
+            reports=self._reports.news(),
             listed=self._listed.recent(),
             quarantine=self._quarantine.make_update(),
             limits=self._limits.updates(),
@@ -135,9 +135,9 @@
         )
 
     async def _on_note(self, sender: str, body: bytes) -> None:
-        note = decode(body, LoadNote)
-        self._shared.take(note, self._clock())
-        self._reports.take(note.news)
+        note = decode(body, LoadUpdate)
+        self._shared.update(note, self._clock())
+        self._reports.take(note.reports)
         self._listed.take(note.listed)
         self._quarantine.apply_update(note.quarantine)
         self._limits.apply_updates(note.limits)
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -36,14 +36,14 @@
 from reachlink.messaging import Bus
 from reachlink.quarantine import Fingerprinter, Quarantine
 from reachlink.requests import (
-    Deciders,
-    Departures,
-    ReplicaBook,
-    ReplicaShare,
+    PeerLoad,
+    PlacementDeciders,
+    ReplicaTracker,
+    ReplicaUsage,
     RequestRunner,
     RetryLimits,
     RunnerParts,
-    SharedLoad,
+    ShutdownTimes,
 )
 from reachlink.routing import RequestKind, RoutingIndex, Service
 from reachlink.scheduling import PaceTracker
@@ -73,8 +73,8 @@
         self.directory = ReplicaDirectory(
             unconfirmed_mark_s=config.leaving_mark_s, pacing=self.client.pacing
         )
-        self.book = ReplicaBook(PaceTracker(config.scheduling.pace))
-        self.shared = SharedLoad()
+        self.book = ReplicaTracker(PaceTracker(config.scheduling.pace))
+        self.shared = PeerLoad()
         self.quarantine = Quarantine(Random(), config.crashes_to_hold, config.crashes_kept_s)
         self.crash_news = QuarantineExchange(self.bus, self.quarantine, Random())
         self.limits = LimitExchange(
@@ -92,7 +92,7 @@
         self.client.on_limit = self._tell_at_once
         self._zones = ZonesInForce(self.directory, self.book, self.log)
         adapter = self.adapter = RELAY_ADAPTERS.get(config.upstream)(self.client)
-        departures = self._departures = Departures()
+        departures = self._departures = ShutdownTimes()
         self.reports = ReportReader(
             config.name,
             adapter,
@@ -293,10 +293,10 @@
         """Return how many entry instances there are, this one included."""
         return self._instances
 
-    def deciders(self) -> Deciders:
+    def deciders(self) -> PlacementDeciders:
         """Return the instances that choose replicas."""
         coordinators = tuple(record.name for record in self.selector.coordinators)
-        return Deciders(self.name, coordinators, self._instances)
+        return PlacementDeciders(self.name, coordinators, self._instances)
 
     def list_readers(self) -> int:
         """Return how many instances read the platform's list by turns."""
@@ -314,9 +314,9 @@
         """Return whether this instance's zone is cut off from the others."""
         return self._reach.cut_off()
 
-    def _shares(self) -> list[ReplicaShare]:
+    def _shares(self) -> list[ReplicaUsage]:
         """Return the requests of this instance and its members at model engines."""
-        return self.coordinator.add_member_usages(self.book.shares(steady_time()))
+        return self.coordinator.add_member_usages(self.book.usages(steady_time()))
 
     def _zone_answered_at(self, zone: str) -> float:
         """Return when a replica of a zone answered last, in monotonic seconds."""
@@ -375,7 +375,7 @@
     def _on_started_again(self, replica: str) -> None:
         """A replica has started again under its name: it holds and knows nothing of before."""
         self.log.info("upstream_started_again", replica=replica, born=self.directory.born(replica))
-        self.book.start_again(replica)
+        self.book.reset_replica(replica)
         self._departures.forget(replica)
         self._runner.on_replica_restarted(replica)
 
@@ -383,11 +383,11 @@
         """The machine was suspended for some time: what was known is that much older."""
         self.log.warning("machine_resumed", suspended_s=round(suspended_s, 3))
         self._runner.on_resumed()
-        self.book.touch()
+        self.book.notify_listeners()
 
     def _tell_at_once(self) -> None:
         """Something was learned that others must know before they send the next request."""
-        self.book.touch()
+        self.book.notify_listeners()
         self.coordinator.notify_members()
 
     def _engines(self) -> list[str]:
--- a/reachlink/entry/_report_reader.py
+++ b/reachlink/entry/_report_reader.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from reachlink.membership import LeavingSource, ReplicaDirectory
-from reachlink.requests import NOTICE_S, Departures, ReplicaBook, ReplicaNews
+from reachlink.requests import SHUTDOWN_NOTICE_S, ReplicaReport, ReplicaTracker, ShutdownTimes
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import LoadReport, RelayAdapter, Replica, UpstreamError
 
@@ -38,13 +38,13 @@
         Speaks with replicas.
     directory : ReplicaDirectory
         The replicas.
-    book : ReplicaBook
+    book : ReplicaTracker
         Where readings are kept.
     engines : callable
         Returns the names of the services that are model engines.
     clock : callable
         Monotonic time in seconds.
-    departures : Departures
+    departures : ShutdownTimes
         Is told which replicas leave, and when.
     zone : str
         This instance's availability zone.
@@ -55,10 +55,10 @@
         name: str,
         adapter: RelayAdapter,
         directory: ReplicaDirectory,
-        book: ReplicaBook,
+        book: ReplicaTracker,
         engines: Callable[[], list[str]],
         clock: Callable[[], float],
-        departures: Departures,
+        departures: ShutdownTimes,
         zone: str = "",
     ) -> None:
         self._name = name
@@ -71,7 +71,7 @@
         self._readers = [name]
         # Who reads each replica: asked for five times a second, changes with the readers.
         self._reader_of: dict[str, str] = {}
-        self._own: dict[str, tuple[float, ReplicaNews]] = {}
+        self._own: dict[str, tuple[float, ReplicaReport]] = {}
         self._departures = departures
         # Called when a replica is found to leave.
         self.on_departure: Callable[[], None] = lambda: None
@@ -86,7 +86,7 @@
             self._readers = readers
             self._reader_of.clear()
 
-    def news(self) -> list[ReplicaNews]:
+    def news(self) -> list[ReplicaReport]:
         """Return what was read here lately."""
         now = self._clock()
         self._own = {n: item for n, item in self._own.items() if now - item[0] < TOLD_S}
@@ -106,19 +106,19 @@
             Whether it has said so itself.
         """
         born = self._directory.born(replica)
-        news = ReplicaNews(replica, True, 0, 0, 0.0, born=born, says_leaving=said)
+        news = ReplicaReport(replica, True, 0, 0, 0.0, born=born, announced_leaving=said)
         self._own[replica] = (self._clock(), news)
-        self._book.touch()
+        self._book.notify_listeners()
 
     def tell_gone(self, replica: str) -> None:
         """Tell the others of a replica that is gone for good."""
         born = self._directory.born(replica)
-        news = ReplicaNews(replica, True, 0, 0, 0.0, gone=True, born=born)
+        news = ReplicaReport(replica, True, 0, 0, 0.0, gone=True, born=born)
         self._own[replica] = (self._clock(), news)
-        self._book.touch()
+        self._book.notify_listeners()
         self.on_departure()
 
-    def take(self, news: Iterable[ReplicaNews]) -> None:
+    def take(self, news: Iterable[ReplicaReport]) -> None:
         """Take what another instance has read."""
         for item in news:
             self._note(item, self._clock() - item.age_s)
@@ -134,7 +134,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     def _due(self) -> list[Replica]:
-        carrying = set(self._book.carrying())
+        carrying = set(self._book.occupied_replicas())
         if not carrying and self._name not in self._readers:
             return []
         engines = self._engines()
@@ -146,9 +146,13 @@
 
     def _leaving_soon(self, engines: list[str]) -> list[Replica]:
         """Return the replicas that leave and whose reports have not yet told when."""
-        since = self._clock() - NOTICE_S
+        since = self._clock() - SHUTDOWN_NOTICE_S
         names = [name for service in engines for name in self._directory.leaving(service, since)]
-        found = (self._directory.find(name) for name in names if not self._departures.told(name))
+        found = (
+            self._directory.find(name)
+            for name in names
+            if not self._departures.has_reported_time(name)
+        )
         return [replica for replica in found if replica is not None]
 
     def _falls_here(self, replica: Replica, carrying: set[str]) -> bool:
@@ -179,7 +183,7 @@
         finally:
             self._reading.discard(replica.name)
         now = self._clock()
-        news = ReplicaNews(
+        news = ReplicaReport(
             replica=replica.name,
             leaving=report.leaving,
             kv_used_tokens=report.kv_used_tokens,
@@ -187,7 +191,7 @@
             age_s=0.0,
             leaves_in_s=report.leaves_in_s,
             born=report.born,
-            says_leaving=report.says_leaving,
+            announced_leaving=report.says_leaving,
         )
         self._own[replica.name] = (now, news)
         self._note(news, now)
@@ -201,7 +205,7 @@
             return
         self._book.paces.record_reported(replica.upstream, replica.name, report.load.pace, now)
 
-    def _note(self, news: ReplicaNews, read_at: float) -> None:
+    def _note(self, news: ReplicaReport, read_at: float) -> None:
         if news.gone:
             self._note_gone(news)
             return
@@ -209,19 +213,19 @@
             # Read before it started again.
             return
         if self._directory.note_born(news.replica, news.born, self._clock()):
-            self._book.touch()
+            self._book.notify_listeners()
             self.on_departure()
-        newest = self._book.state(news.replica).take_report(news, read_at)
-        if not news.says_leaving and not (newest and news.leaving):
+        newest = self._book.state(news.replica).record_report(news, read_at)
+        if not news.announced_leaving and not (newest and news.leaving):
             return
         self._note_departure(news, read_at)
-        source = LeavingSource.ANSWER if news.says_leaving else LeavingSource.REPORT
+        source = LeavingSource.ANSWER if news.announced_leaving else LeavingSource.REPORT
         if self._directory.mark_leaving(news.replica, source, self._clock()):
             self._log.info("upstream_leaving", replica=news.replica, source="report")
-            self._book.touch()
+            self._book.notify_listeners()
             self.on_departure()
 
-    def _note_gone(self, news: ReplicaNews) -> None:
+    def _note_gone(self, news: ReplicaReport) -> None:
         replica = news.replica
         if 0 < news.born < self._directory.born(replica):
             return
@@ -230,11 +234,11 @@
             # Passed on: who found it tells its coordinator, which tells its members.
             self.tell_gone(replica)
 
-    def _note_departure(self, news: ReplicaNews, read_at: float) -> None:
+    def _note_departure(self, news: ReplicaReport, read_at: float) -> None:
         if news.leaves_in_s is None:
-            self._departures.notice(news.replica, read_at)
+            self._departures.note_leaving(news.replica, read_at)
             return
-        self._departures.report(news.replica, read_at, news.leaves_in_s)
+        self._departures.note_reported_time(news.replica, read_at, news.leaves_in_s)
         self._log.info(
             "departure_told",
             replica=news.replica,
--- a/reachlink/entry/_zones_in_force.py
+++ b/reachlink/entry/_zones_in_force.py
@@ -5,7 +5,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.membership import ReplicaDirectory
-from reachlink.requests import ReplicaBook
+from reachlink.requests import ReplicaTracker
 from reachlink.settings import SettingsTree
 
 
@@ -16,7 +16,7 @@
     ----------
     directory : ReplicaDirectory
         Says which replicas may get work.
-    book : ReplicaBook
+    book : ReplicaTracker
         This instance's requests at replicas.
     log : object
         Logger of the process.
@@ -27,7 +27,7 @@
     def __init__(
         self,
         directory: ReplicaDirectory,
-        book: ReplicaBook,
+        book: ReplicaTracker,
         log: Any,
         clock: Callable[[], float] = steady_time,
     ) -> None:
@@ -37,7 +37,7 @@
         self._clock = clock
         # Zones out of service where requests of this instance still ran when last looked.
         self._running: Set[str] = frozenset()
-        book.listen(self._note_empty)
+        book.add_listener(self._note_empty)
 
     def take(self, tree: SettingsTree) -> None:
         """Send nothing more to zones out of service, from this very step on."""
--- a/reachlink/entry/tests/test_isolation.py
+++ b/reachlink/entry/tests/test_isolation.py
@@ -6,7 +6,7 @@
 
 from reachlink.entry._isolation import SILENT_S, Isolation
 from reachlink.membership import InstanceRecord
-from reachlink.requests import LoadNote, RequestFailedError, SharedLoad
+from reachlink.requests import LoadUpdate, PeerLoad, RequestFailedError
 from reachlink.requests.tests.world import FakeAdapter, World, answering
 from reachlink.routing import RequestKind
 
@@ -15,8 +15,8 @@
 FARTHER = InstanceRecord("e4", "10.0.0.4:1", "c")
 
 
-def isolation(*peers: InstanceRecord) -> tuple[Isolation, SharedLoad]:
-    shared = SharedLoad()
+def isolation(*peers: InstanceRecord) -> tuple[Isolation, PeerLoad]:
+    shared = PeerLoad()
     made = Isolation("a", shared)
     made.take_peers(peers, 10.0)
     return made, shared
@@ -24,18 +24,18 @@
 
 def test_a_zone_that_nobody_of_the_others_tells_anything_is_cut_off():
     made, shared = isolation(NEAR, FAR, FARTHER)
-    shared.take(LoadNote("e3", []), 20.0)
-    shared.take(LoadNote("e4", []), 20.5)
-    shared.take(LoadNote("e2", []), 22.0)
+    shared.update(LoadUpdate("e3", []), 20.0)
+    shared.update(LoadUpdate("e4", []), 20.5)
+    shared.update(LoadUpdate("e2", []), 22.0)
     assert not made.cut_off(20.4 + SILENT_S)
     assert made.cut_off(20.6 + SILENT_S)
-    shared.take(LoadNote("e3", []), 30.0)
+    shared.update(LoadUpdate("e3", []), 30.0)
     assert not made.cut_off(30.1)
 
 
 def test_one_silent_zone_of_two_is_not_this_ones_fault():
     made, shared = isolation(FAR, FARTHER)
-    shared.take(LoadNote("e3", []), 20.0)
+    shared.update(LoadUpdate("e3", []), 20.0)
     assert not made.cut_off(21.0)
 
 
@@ -49,14 +49,14 @@
 
 def test_a_zone_of_which_nobody_is_heard_is_silent_while_the_others_are_not():
     made, shared = isolation(NEAR, FAR, FARTHER)
-    shared.take(LoadNote("e3", []), 20.0)
-    shared.take(LoadNote("e4", []), 25.0)
+    shared.update(LoadUpdate("e3", []), 20.0)
+    shared.update(LoadUpdate("e4", []), 25.0)
     assert made.silent_zones(25.0) == {"b"}
     assert not made.cut_off(25.0)
 
 
 def test_a_zone_whose_replicas_answer_is_not_silent():
-    made = Isolation("a", SharedLoad(), {"b": 24.0, "c": 0.0}.__getitem__)
+    made = Isolation("a", PeerLoad(), {"b": 24.0, "c": 0.0}.__getitem__)
     made.take_peers([FAR, FARTHER], 10.0)
     assert made.silent_zones(25.0) == {"c"}
     assert not made.cut_off(25.0)
@@ -99,11 +99,11 @@
     The control instance in this zone forgets the instances that no longer ask it.
     """
     made, shared = isolation(NEAR, FAR)
-    shared.take(LoadNote("e3", []), 20.0)
+    shared.update(LoadUpdate("e3", []), 20.0)
     assert made.cut_off(22.0)
     made.take_peers([NEAR], 22.5)
     assert made.cut_off(23.0)
-    shared.take(LoadNote("e3", []), 30.0)
+    shared.update(LoadUpdate("e3", []), 30.0)
     assert not made.cut_off(30.1)
     made.take_peers([NEAR], 30.2)
     assert not made.cut_off(60.0)
--- a/reachlink/entry/tests/test_pace_sight.py
+++ b/reachlink/entry/tests/test_pace_sight.py
@@ -81,6 +81,6 @@
     told = node.teller._note()
     assert [(note.replica, note.steady) for note in told.paces] == [("r1", 120)]
     assert node.teller._note().paces == []
-    node.book.start_again("r1")
+    node.book.reset_replica("r1")
     asyncio.run(node.teller._on_note("e2", encode(told)))
     assert node.book.paces.pace("r1", steady_time()).steady == 1.2
--- a/reachlink/entry/tests/test_relay_node.py
+++ b/reachlink/entry/tests/test_relay_node.py
@@ -11,7 +11,7 @@
 from reachlink.entry.tests.relay import CONFIG
 from reachlink.kernel import _slices, steady_time
 from reachlink.membership import InstanceRecord, ListedInstance, SettingsAnswer
-from reachlink.requests import Flight, ReplicaNews
+from reachlink.requests import Allocation, ReplicaReport
 from reachlink.routing import NATIVE_FORMAT, PublishedTable, RequestKind, RoutingTable
 from reachlink.scheduling import Need, SchedulingSettings
 from reachlink.settings import ROUTING_PATH
@@ -160,7 +160,7 @@
     node.on_roster([InstanceRecord("e9", "10.0.9.1:7201", "b"), ITSELF], 2)
     node._isolation._known_since = {"e9": now - 60.0}
     node.directory.update([ListedInstance("r9", "chat", "b", "10.0.9.2:80")], now)
-    node.book.state("r9").take_report(ReplicaNews("r9", False, 0, 0, 0.0), now)
+    node.book.state("r9").record_report(ReplicaReport("r9", False, 0, 0, 0.0), now)
     assert not node.cut_off()
 
 
@@ -168,19 +168,19 @@
     """Trust lost, load, and the time of its departure were those of its life before."""
     now = steady_time()
     node.directory.update([ListedInstance("r9", "chat", "a", "10.0.9.2:80")], now)
-    node.reports.take([ReplicaNews("r9", True, 900, 9, 0.3, leaves_in_s=1.0, born=100)])
-    flight = Flight("id-1", 100, used_tokens=100)
+    node.reports.take([ReplicaReport("r9", True, 900, 9, 0.3, leaves_in_s=1.0, born=100)])
+    flight = Allocation("id-1", 100, used_tokens=100)
     node.book.add("r9", flight)
     for _ in range(3):
         node.book.state("r9").health.on_failure(now, Random(1))
-    node.reports.take([ReplicaNews("r9", False, 0, 0, 0.1, born=200)])
+    node.reports.take([ReplicaReport("r9", False, 0, 0, 0.1, born=200)])
     state = node.book.state("r9")
     assert node.directory.may_get_work("r9")
     assert state.health.allowance(now) == 1.0
     assert state.reported_tokens(now) == 0
-    assert node._departures.expected("r9") is None
+    assert node._departures.expected_at("r9") is None
     # What this instance has there is known by its connections, not by the replica's life.
-    assert state.flights == {flight}
+    assert state.allocations == {flight}
 
 
 def test_what_is_held_shows_on_the_page(node):
--- a/reachlink/entry/tests/test_report_reader.py
+++ b/reachlink/entry/tests/test_report_reader.py
@@ -5,7 +5,7 @@
 
 from reachlink.entry._report_reader import ReportReader
 from reachlink.membership import ListedInstance, ReplicaDirectory
-from reachlink.requests import Departures, ReplicaBook, ReplicaNews
+from reachlink.requests import ReplicaReport, ReplicaTracker, ShutdownTimes
 from reachlink.requests.tests.world import FakeAdapter, wait_until
 from reachlink.upstreams import LoadReport, LoadSample, Replica
 
@@ -24,15 +24,15 @@
 
 
 def test_a_leaving_replica_is_read_until_it_has_told_when():
-    async def play() -> tuple[int, Departures, ReplicaDirectory]:
-        adapter, directory, departures = Reports(), ReplicaDirectory(), Departures()
+    async def play() -> tuple[int, ShutdownTimes, ReplicaDirectory]:
+        adapter, directory, departures = Reports(), ReplicaDirectory(), ShutdownTimes()
         directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
         clock = asyncio.get_running_loop().time
         reader = ReportReader(
-            "e1", adapter, directory, ReplicaBook(), lambda: ["chat"], clock, departures
+            "e1", adapter, directory, ReplicaTracker(), lambda: ["chat"], clock, departures
         )
         task = asyncio.create_task(reader.run())
-        await wait_until(lambda: departures.told("r1"))
+        await wait_until(lambda: departures.has_reported_time("r1"))
         # Nothing is due from here on: a reading that had begun is over by now.
         assert reader._due() == []
         task.cancel()
@@ -41,38 +41,38 @@
     read, departures, directory = asyncio.run(play())
     assert read == 4
     assert not directory.may_get_work("r1")
-    assert departures.expected("r1") is not None
+    assert departures.expected_at("r1") is not None
 
 
 def test_a_replica_that_is_gone_for_good_is_passed_on_once():
-    directory, book = ReplicaDirectory(), ReplicaBook()
+    directory, book = ReplicaDirectory(), ReplicaTracker()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    reader = ReportReader("e1", Reports(), directory, book, list, lambda: 5.0, Departures())
+    reader = ReportReader("e1", Reports(), directory, book, list, lambda: 5.0, ShutdownTimes())
     woken = []
     reader.on_departure = lambda: woken.append(True)
-    reader.take([ReplicaNews("r1", True, 0, 0, 0.1, gone=True)])
+    reader.take([ReplicaReport("r1", True, 0, 0, 0.1, gone=True)])
     assert not directory.may_get_work("r1")
     assert [news.gone for news in reader.news()] == [True]
-    reader.take([ReplicaNews("r1", True, 0, 0, 0.1, gone=True)])
+    reader.take([ReplicaReport("r1", True, 0, 0, 0.1, gone=True)])
     assert woken == [True]
 
 
-def reader_of(directory: ReplicaDirectory, book: ReplicaBook) -> ReportReader:
-    return ReportReader("e1", Reports(), directory, book, list, lambda: 5.0, Departures())
+def reader_of(directory: ReplicaDirectory, book: ReplicaTracker) -> ReportReader:
+    return ReportReader("e1", Reports(), directory, book, list, lambda: 5.0, ShutdownTimes())
 
 
 def test_a_report_of_the_life_before_says_nothing_of_the_new_one():
-    directory, book = ReplicaDirectory(), ReplicaBook()
+    directory, book = ReplicaDirectory(), ReplicaTracker()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
     reader = reader_of(directory, book)
-    reader.take([ReplicaNews("r1", False, 100, 1, 1.0, born=100)])
-    reader.take([ReplicaNews("r1", False, 0, 0, 0.5, born=200)])
+    reader.take([ReplicaReport("r1", False, 100, 1, 1.0, born=100)])
+    reader.take([ReplicaReport("r1", False, 0, 0, 0.5, born=200)])
     # Read before, heard after: by way of an instance that is behind.
-    reader.take([ReplicaNews("r1", True, 900, 9, 0.1, born=100)])
-    reader.take([ReplicaNews("r1", True, 0, 0, 0.1, gone=True, born=100)])
+    reader.take([ReplicaReport("r1", True, 900, 9, 0.1, born=100)])
+    reader.take([ReplicaReport("r1", True, 0, 0, 0.1, gone=True, born=100)])
     assert directory.may_get_work("r1")
     assert book.state("r1").report.kv_used_tokens == 0
-    reader.take([ReplicaNews("r1", True, 0, 0, 0.05, born=200)])
+    reader.take([ReplicaReport("r1", True, 0, 0, 0.05, born=200)])
     assert not directory.may_get_work("r1")
 
 
@@ -89,10 +89,10 @@
 
 
 def test_a_pace_that_comes_with_a_report_counts_for_the_life_that_it_is_of():
-    directory, book, adapter = ReplicaDirectory(), ReplicaBook(), Paces()
+    directory, book, adapter = ReplicaDirectory(), ReplicaTracker(), Paces()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    directory.on_started_again(book.start_again)
-    reader = ReportReader("e1", adapter, directory, book, list, lambda: 5.0, Departures())
+    directory.on_started_again(book.reset_replica)
+    reader = ReportReader("e1", adapter, directory, book, list, lambda: 5.0, ShutdownTimes())
     replica = directory.find("r1")
     assert replica is not None
     steadies = []
--- a/reachlink/requests/__init__.py
+++ b/reachlink/requests/__init__.py
@@ -1,47 +1,47 @@
 """Request lifecycle, independent of the protocols: placement, dispatch, relaying the answer."""
 
 from reachlink.requests._attempts import AttemptFailure, AttemptLog
-from reachlink.requests._book import Flight, ReplicaBook, ReplicaState
-from reachlink.requests._cold_rates import Deciders
-from reachlink.requests._departures import NOTICE_S, Departures
-from reachlink.requests._load_notes import (
+from reachlink.requests._cold_rates import PlacementDeciders
+from reachlink.requests._load_updates import (
+    AllocationSummary,
     ListedReplica,
-    LoadNote,
-    MemoryNote,
-    ReplicaNews,
+    LoadUpdate,
     ReplicaOutcome,
-    ReplicaShare,
-    shortened,
-    total,
+    ReplicaReport,
+    ReplicaUsage,
+    sum_usages,
+    with_aggregated_copies,
 )
 from reachlink.requests._model import AnswerSink, CallerRequest
 from reachlink.requests._parts import Directory, RetryLimits, RunnerParts
-from reachlink.requests._place_question import PlaceAnswer, PlaceQuestion, Purpose
-from reachlink.requests._placing import Placing
+from reachlink.requests._peer_load import PeerLoad
+from reachlink.requests._placement_query import PlacementPurpose, PlacementQuery, PlacementReply
+from reachlink.requests._placer import Placer
+from reachlink.requests._replica_tracker import Allocation, ReplicaState, ReplicaTracker
 from reachlink.requests._runner import RequestRunner
-from reachlink.requests._shared_load import SharedLoad
+from reachlink.requests._shutdown_times import SHUTDOWN_NOTICE_S, ShutdownTimes
 from reachlink.requests.exceptions import RequestFailedError, RequestsError, StreamCutError
 
 __all__ = [
     "AnswerSink",
     "AttemptLog",
     "CallerRequest",
-    "Deciders",
-    "Departures",
+    "PlacementDeciders",
+    "ShutdownTimes",
     "Directory",
-    "Flight",
+    "Allocation",
     "ListedReplica",
-    "LoadNote",
-    "MemoryNote",
-    "NOTICE_S",
-    "PlaceAnswer",
-    "PlaceQuestion",
-    "Placing",
-    "Purpose",
-    "ReplicaBook",
-    "ReplicaNews",
+    "LoadUpdate",
+    "AllocationSummary",
+    "SHUTDOWN_NOTICE_S",
+    "PlacementReply",
+    "PlacementQuery",
+    "Placer",
+    "PlacementPurpose",
+    "ReplicaTracker",
+    "ReplicaReport",
     "ReplicaOutcome",
-    "ReplicaShare",
+    "ReplicaUsage",
     "ReplicaState",
     "RetryLimits",
     "RequestFailedError",
@@ -49,8 +49,8 @@
     "RequestsError",
     "RunnerParts",
     "AttemptFailure",
-    "SharedLoad",
+    "PeerLoad",
     "StreamCutError",
-    "shortened",
-    "total",
+    "with_aggregated_copies",
+    "sum_usages",
 ]
--- a/reachlink/requests/_flights.py
+++ b/reachlink/requests/_allocations.py
@@ -1,17 +1,17 @@
 """Allocations of this instance's requests at replicas, and the bytes that replicas hold."""
 
 from reachlink.limits import BytesInFlight
-from reachlink.requests._book import Flight
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._needs import need_tokens
 from reachlink.requests._parts import RunnerParts
+from reachlink.requests._replica_tracker import Allocation
 from reachlink.upstreams import Replica
 
 # Minimum change of an expected time that is sent to the other instances, in seconds.
 MIN_SENT_CHANGE_S = 0.03
 
 
-class Flights:
+class Allocations:
     """Records the allocations of requests and copies at replicas.
 
     Parameters
@@ -26,7 +26,7 @@
 
     def add(
         self, request: CallerRequest, replica: Replica, reads: bool = True, copy: bool = False
-    ) -> Flight:
+    ) -> Allocation:
         """Add and return the allocation of a request or a copy at a replica.
 
         Parameters
@@ -41,12 +41,12 @@
             Whether the replica gets only a copy of the memory.
         """
         unread = request.prompt_tokens if reads else 0
-        flight = Flight(
+        flight = Allocation(
             request.request_id,
             need_tokens(request),
             unread,
             used_tokens=request.prompt_tokens,
-            copy=copy,
+            is_copy=copy,
         )
         self._parts.book.add(replica.name, flight)
         if not copy:
@@ -54,40 +54,40 @@
             self._sent.add(replica.name, flight.body_bytes)
         return flight
 
-    def remove(self, replica: Replica, flight: Flight) -> None:
+    def remove(self, replica: Replica, flight: Allocation) -> None:
         """Remove an allocation from a replica."""
         self._parts.book.remove(replica.name, flight)
         self._sent.remove(replica.name, flight.body_bytes)
         flight.body_bytes = 0
 
-    def full(self, size: int) -> frozenset[str]:
+    def full_replicas(self, size: int) -> frozenset[str]:
         """Return the replicas whose limit of bytes from this instance `size` would exceed."""
         return self._sent.replicas_without_room(size, self._parts.instance_count())
 
-    def has_read(self, flight: Flight) -> None:
+    def mark_prompt_read(self, flight: Allocation) -> None:
         """Record that a replica has processed a request's prompt."""
-        self._parts.book.has_read(flight)
+        self._parts.book.mark_prompt_read(flight)
 
-    def hold(self, flight: Flight) -> None:
+    def mark_not_evictable(self, flight: Allocation) -> None:
         """Record that a copy is no longer evictable."""
-        self._parts.book.hold(flight)
+        self._parts.book.mark_not_evictable(flight)
 
-    def expect_resume(self, flight: Flight, home: Replica) -> None:
+    def expect_resume(self, flight: Allocation, home: Replica) -> None:
         """Record when a generation will resume from its copy because its primary leaves."""
         departures = self._parts.departures
-        departures.notice(home.name, self._parts.clock())
-        at = departures.expected(home.name)
+        departures.note_leaving(home.name, self._parts.clock())
+        at = departures.expected_at(home.name)
         if at is not None and (
-            flight.joins_at is None or abs(at - flight.joins_at) > MIN_SENT_CHANGE_S
+            flight.resumes_at is None or abs(at - flight.resumes_at) > MIN_SENT_CHANGE_S
         ):
-            flight.joins_at = at
-            self._parts.book.touch()
+            flight.resumes_at = at
+            self._parts.book.notify_listeners()
 
     def shutdown_in_s(self, replica: Replica) -> float | None:
         """Return the time until a leaving replica is shut down, in seconds; None if unknown."""
-        at = self._parts.departures.expected(replica.name)
+        at = self._parts.departures.expected_at(replica.name)
         return None if at is None else at - self._parts.clock()
 
-    def gone(self, replica: Replica) -> None:
+    def note_gone(self, replica: Replica) -> None:
         """Record that a replica is gone, from which the estimates of shutdowns are updated."""
-        self._parts.departures.gone(replica.name, self._parts.clock())
+        self._parts.departures.note_gone(replica.name, self._parts.clock())
--- a/reachlink/requests/_cold_rates.py
+++ b/reachlink/requests/_cold_rates.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Deciders:
+class PlacementDeciders:
     """The instances that choose replicas.
 
     Attributes
@@ -62,7 +62,7 @@
 
 
 def request_quota(
-    replica: str, sustained_per_s: float, deciders: Deciders, coordinated: bool
+    replica: str, sustained_per_s: float, deciders: PlacementDeciders, coordinated: bool
 ) -> int:
     """Return the number of requests that this instance may send to a cold replica per window.
 
@@ -72,7 +72,7 @@
         Name of the replica.
     sustained_per_s : float
         Rate that the replica sustains, in requests per second of all instances together.
-    deciders : Deciders
+    deciders : PlacementDeciders
         Instances that choose replicas.
     coordinated : bool
         Whether coordinators choose the replicas of its service.
@@ -90,7 +90,7 @@
     return _rounded_quota(replica, sustained_per_s * fraction, deciders)
 
 
-def _exact_quota(replica: str, total: int, deciders: Deciders) -> int:
+def _exact_quota(replica: str, total: int, deciders: PlacementDeciders) -> int:
     """Return this coordinator's part of a total that the coordinators split exactly."""
     each, rest = divmod(total, len(deciders.coordinators))
     own = _hash(deciders.name, replica)
@@ -98,7 +98,7 @@
     return each + (before < rest)
 
 
-def _rounded_quota(replica: str, total: float, deciders: Deciders) -> int:
+def _rounded_quota(replica: str, total: float, deciders: PlacementDeciders) -> int:
     """Return this instance's expected part of a total, rounded pseudorandomly.
 
     The hash of both names decides the rounding, so that no communication is needed.
--- a/reachlink/requests/_copy_order.py
+++ b/reachlink/requests/_copy_order.py
@@ -1,7 +1,7 @@
 """Decisions on which copies are evicted, and which departure copies are made first."""
 
-from reachlink.requests._book import Flight
 from reachlink.requests._parts import RunnerParts
+from reachlink.requests._replica_tracker import Allocation
 from reachlink.requests._stake_order import departure_copy_rank, must_evict
 from reachlink.routing import Service
 from reachlink.upstreams import Replica
@@ -29,27 +29,27 @@
         now = parts.clock()
         leaving = parts.directory.leaving(service.name, now - DEPARTURE_COPY_PRIORITY_S)
         return any(
-            parts.book.state(name).own_unreplicated or parts.shared.at(name, now).uncovered
+            parts.book.state(name).own_unreplicated or parts.shared.usage_at(name, now).unreplicated
             for name in leaving
         )
 
-    def must_evict(self, service: Service, replica: Replica, flight: Flight) -> bool:
+    def must_evict(self, service: Service, replica: Replica, flight: Allocation) -> bool:
         """Return whether a copy of this instance has to be evicted from its replica."""
         if service.engine is None:
             return False
         parts = self._parts
         state = parts.book.state(replica.name)
-        others = parts.shared.at(replica.name, parts.clock())
+        others = parts.shared.usage_at(replica.name, parts.clock())
         return must_evict(
-            flight.note,
+            flight.summary,
             [*state.own_evictable_copies, *others.copies],
             state.own_used_tokens + others.used_tokens,
             service.engine.kv_capacity_tokens,
         )
 
-    def departure_copy_rank(self, replica: Replica, flight: Flight) -> int:
+    def departure_copy_rank(self, replica: Replica, flight: Allocation) -> int:
         """Return the number of generations to copy from a replica before the given one."""
         parts = self._parts
-        others = parts.shared.at(replica.name, parts.clock())
+        others = parts.shared.usage_at(replica.name, parts.clock())
         own = parts.book.state(replica.name).own_unreplicated
-        return departure_copy_rank(flight.note, [*own, *others.uncovered])
+        return departure_copy_rank(flight.summary, [*own, *others.unreplicated])
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -1,7 +1,7 @@
 """Choice of replicas for copies of one generation's memory."""
 
 from reachlink.requests._model import CallerRequest
-from reachlink.requests._place_question import Purpose
+from reachlink.requests._placement_query import PlacementPurpose
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.upstreams import Replica
 
@@ -47,7 +47,7 @@
             Memory that the generation takes now, in tokens.
         """
         near = self._placing.reachable.is_near(home)
-        purpose = Purpose.STANDING_COPY if near else Purpose.COPY_AT_HOME
+        purpose = PlacementPurpose.STANDING_COPY if near else PlacementPurpose.LOCAL_COPY
         return await self._place(home, excluded, used_tokens, purpose)
 
     async def departure_copy(
@@ -56,14 +56,14 @@
         """Return the replica for a copy from a leaving primary, if there is one."""
         # Time is short, and a transfer within the zone takes half as long as to another zone.
         zone = home.availability_zone
-        return await self._place(home, excluded, used_tokens, Purpose.RESCUE, zone)
+        return await self._place(home, excluded, used_tokens, PlacementPurpose.DEPARTURE_COPY, zone)
 
     async def _place(
         self,
         home: Replica,
         excluded: set[str],
         used_tokens: int,
-        purpose: Purpose,
+        purpose: PlacementPurpose,
         zone: str = "",
     ) -> Replica | None:
         left_out = {home.name, *excluded, *self._avoided()}
--- a/reachlink/requests/_generation_places.py
+++ b/reachlink/requests/_generation_replicas.py
@@ -11,11 +11,11 @@
 import asyncio
 from dataclasses import dataclass
 
-from reachlink.requests._book import Flight
 from reachlink.requests._copy_targets import CopyTargets
 from reachlink.requests._event_merger import EventMerger
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._outlook import GenerationProgress
+from reachlink.requests._replica_tracker import Allocation
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._shadow_copy import ShadowCopy
 from reachlink.upstreams import MovedMemory, MoveSetback, Replica
@@ -37,7 +37,7 @@
 DEPARTURE_COPY_INTERVAL_S = 0.03
 # Probability from 0 to 1 that a needed copy is started at a check while the primary stays. It
 # spreads the copies: other instances learn of a new copy before most of them start theirs.
-BEGIN_SHARE = 0.2
+COPY_START_PROBABILITY = 0.2
 # Delay before the next copy if the source did not answer a transfer request, for example
 # because its zone is partitioned, in seconds.
 SOURCE_FAILURE_DELAY_S = 1.0
@@ -51,13 +51,13 @@
     """Replica with a generation or a copy, and its allocation there."""
 
     replica: Replica
-    allocation: Flight
+    allocation: Allocation
     # Start time of the replica when the memory was sent there, in Unix milliseconds; 0 if
     # unknown.
     born: int = 0
 
 
-class GenerationPlaces:
+class GenerationReplicas:
     """Manages the replicas of one generation: its primary, its backup and its shadow copy.
 
     Parameters
@@ -91,7 +91,7 @@
         self._no_copy_before = 0.0
 
     @property
-    def home(self) -> Replica:
+    def primary(self) -> Replica:
         """Replica at which the generation runs; only valid after `begin`."""
         assert self._primary is not None
         return self._primary.replica
@@ -131,7 +131,7 @@
     def note_prompt_read(self) -> None:
         """Record that the primary has processed the prompt."""
         assert self._primary is not None
-        self._dispatch.flights.has_read(self._primary.allocation)
+        self._dispatch.flights.mark_prompt_read(self._primary.allocation)
 
     def note_progress(self) -> None:
         """Record the memory that the generation takes now and is expected to take at its end.
@@ -145,7 +145,7 @@
                 place.allocation.used_tokens = outlook.used_tokens
                 place.allocation.tokens = max(place.allocation.tokens, outlook.final_tokens)
 
-    def leave(self) -> None:
+    def release(self) -> None:
         """Release all replicas."""
         self._drop_shadow()
         self._free(self._primary)
@@ -168,7 +168,7 @@
         """Return whether a generation may resume from a copy."""
         return self._placing.is_in_service(place.replica) and not self._has_restarted(place)
 
-    async def watch(self) -> None:
+    async def maintain_copies(self) -> None:
         """Maintain a shadow copy at a replica that stays, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
@@ -186,7 +186,7 @@
 
     def _note_leaving(self) -> bool:
         """Return whether the primary is leaving, and record when this was first found."""
-        if self._placing.stays(self.home):
+        if self._placing.stays(self.primary):
             self._leaving_since = None
             return False
         if self._leaving_since is None:
@@ -197,11 +197,11 @@
         """Update what the other instances need to sort departure copies and evictions."""
         assert self._primary is not None
         flight = self._primary.allocation
-        flight.stake = self._expected_loss()
+        flight.expected_loss = self._expected_loss()
         if self._shadow is not None and self._shadow_allocation is not None:
-            self._shadow_allocation.allocation.arriving = not self._shadow.has_memory
+            self._shadow_allocation.allocation.transfer_pending = not self._shadow.has_memory
         covered = self._backup is not None or (self._shadow is not None and self._shadow.has_memory)
-        flight.uncovered = not covered and self._is_worth_departure_copy()
+        flight.unreplicated = not covered and self._is_worth_departure_copy()
 
     def _may_start_copy(self) -> bool:
         """Return whether a copy of this generation may be started now."""
@@ -210,7 +210,7 @@
             return False
         if self._leaving_since is None:
             # Prevents all generations from starting copies at once at a new replica.
-            return self._dispatch.random_fraction() < BEGIN_SHARE
+            return self._dispatch.random_fraction() < COPY_START_PROBABILITY
         assert self._primary is not None
         rank = self._dispatch.copy_order.departure_copy_rank(
             self._primary.replica, self._primary.allocation
@@ -230,8 +230,8 @@
             return False
         target_stays = self._placing.stays(self._shadow.target)
         if leaving:
-            self._dispatch.flights.hold(self._shadow_allocation.allocation)
-            self._dispatch.flights.expect_resume(self._shadow_allocation.allocation, self.home)
+            self._dispatch.flights.mark_not_evictable(self._shadow_allocation.allocation)
+            self._dispatch.flights.expect_resume(self._shadow_allocation.allocation, self.primary)
             self._shadow.refresh_faster()
             if self._leaves_with_primary(self._shadow.target):
                 return False
@@ -255,7 +255,7 @@
         """
         if self._placing.stays(target):
             return False
-        home_left = self._dispatch.flights.shutdown_in_s(self.home)
+        home_left = self._dispatch.flights.shutdown_in_s(self.primary)
         target_left = self._dispatch.flights.shutdown_in_s(target)
         if home_left is None or target_left is None or home_left < MIN_SHUTDOWN_GAP_S:
             return False
@@ -272,7 +272,7 @@
 
     def _must_evict_shadow(self, place: _ReplicaAllocation) -> bool:
         """Return whether the shadow copy must be evicted; if so, avoid its replica."""
-        place.allocation.stake = self._expected_loss()
+        place.allocation.expected_loss = self._expected_loss()
         if not self._dispatch.copy_order.must_evict(
             self._request.service, place.replica, place.allocation
         ):
@@ -282,7 +282,7 @@
             "copy_gives_way",
             request_id=self._request.request_id,
             target=place.replica.name,
-            stake=place.allocation.stake,
+            stake=place.allocation.expected_loss,
         )
         return True
 
@@ -314,13 +314,13 @@
         self._log_shadow(target, leaving)
         self._shadow_allocation = self._allocate(target, copy=True)
         flight = self._shadow_allocation.allocation
-        flight.gives_way = not leaving
-        flight.stake = self._expected_loss()
-        flight.arriving = True
+        flight.evictable = not leaving
+        flight.expected_loss = self._expected_loss()
+        flight.transfer_pending = True
         self._shadow = ShadowCopy(
             self._dispatch.adapter,
             self._request.request_id,
-            self.home,
+            self.primary,
             target,
             self._dispatch.log,
             self._dispatch.now,
@@ -329,18 +329,18 @@
     async def _choose_shadow_target(self, leaving: bool) -> Replica | None:
         excluded = {self._backup.replica.name} if self._backup is not None else set()
         choose = self._targets.departure_copy if leaving else self._targets.standing_copy
-        return await choose(self.home, excluded, self._progress().used_tokens)
+        return await choose(self.primary, excluded, self._progress().used_tokens)
 
     def _log_shadow(self, target: Replica, leaving: bool) -> None:
         self._dispatch.log.info(
             "generation_shadowed",
             request_id=self._request.request_id,
-            source=self.home.name,
+            source=self.primary.name,
             target=target.name,
             copy=self._backup.replica.name if self._backup else "",
             home_stays=not leaving,
             after_event=self._joint.last_event_number,
-            replicas=self._placing.options.shown(self._request.service, set()),
+            replicas=self._placing.options.describe(self._request.service, set()),
         )
 
     def _drop_shadow(self) -> None:
@@ -380,7 +380,7 @@
             return None
         if self._progress().remaining_tokens < MIN_COPY_TOKENS:
             return None
-        home = self.home
+        home = self.primary
         if before is not None and self._may_be_backup(before, home):
             return self._allocate(before, copy=True)
         found = await self._targets.standing_copy(home, excluded, self._progress().used_tokens)
--- a/reachlink/requests/_load_notes.py
+++ b/reachlink/requests/_load_updates.py
@@ -15,7 +15,7 @@
 RESUME_TOLERANCE_S = 0.12
 
 
-class MemoryNote(msgspec.Struct, array_like=True, frozen=True):
+class AllocationSummary(msgspec.Struct, array_like=True, frozen=True):
     """Size and expected loss of a generation or of a copy, from which every instance sorts.
 
     Attributes
@@ -25,7 +25,7 @@
         same way at every instance.
     tokens : int
         Memory that it takes now, in tokens.
-    stake : int
+    expected_loss : int
         Work that is lost if the generation is lost, weighted by risk
         (`GenerationProgress.expected_loss`). Copies with the lowest value are evicted
         first; generations with the highest value are copied from a leaving replica first.
@@ -33,10 +33,10 @@
 
     key: int
     tokens: int
-    stake: int
+    expected_loss: int
 
 
-class ReplicaShare(msgspec.Struct, array_like=True, frozen=True):
+class ReplicaUsage(msgspec.Struct, array_like=True, frozen=True):
     """Load that one instance, or several together, put on a replica.
 
     Attributes
@@ -52,13 +52,13 @@
         Prompt tokens that the replica has not processed yet.
     used_tokens : int
         Memory that requests and copies take now, in tokens, without evictable copies.
-    copies : tuple of MemoryNote
+    copies : tuple of AllocationSummary
         Evictable copies.
-    uncovered : tuple of MemoryNote
+    unreplicated : tuple of AllocationSummary
         Running generations that no other replica has a copy of.
-    arriving : int
+    pending_transfers : int
         Number of copies whose first transfer to the replica has not ended.
-    joins_in_s : float, optional
+    resumes_in_s : float, optional
         Time in seconds until the next generation is expected to resume at the replica
         because its primary leaves; may be slightly negative.
     """
@@ -68,10 +68,10 @@
     tokens: int
     unread_tokens: int = 0
     used_tokens: int = 0
-    copies: tuple[MemoryNote, ...] = ()
-    uncovered: tuple[MemoryNote, ...] = ()
-    arriving: int = 0
-    joins_in_s: float | None = None
+    copies: tuple[AllocationSummary, ...] = ()
+    unreplicated: tuple[AllocationSummary, ...] = ()
+    pending_transfers: int = 0
+    resumes_in_s: float | None = None
 
     @property
     def copy_tokens(self) -> int:
@@ -79,7 +79,7 @@
         return sum(copy.tokens for copy in self.copies)
 
 
-class ReplicaNews(msgspec.Struct, array_like=True, frozen=True):
+class ReplicaReport(msgspec.Struct, array_like=True, frozen=True):
     """Load report of a replica that one instance read and passes on to the others.
 
     Attributes
@@ -102,7 +102,7 @@
         Whether another replica uses its address by now.
     born : int
         Start time of the replica, in Unix milliseconds by its own clock; 0 if unknown.
-    says_leaving : bool
+    announced_leaving : bool
         Whether the replica itself announced that it leaves, which is final until it
         restarts.
     """
@@ -115,7 +115,7 @@
     leaves_in_s: float | None = None
     gone: bool = False
     born: int = 0
-    says_leaving: bool = False
+    announced_leaving: bool = False
 
 
 class ListedReplica(msgspec.Struct, array_like=True, frozen=True):
@@ -155,27 +155,27 @@
     ----------
     replica : str
         Name of the replica.
-    good : bool
+    succeeded : bool
         Whether the request succeeded.
     answered : bool
         Whether the replica answered, possibly with a failure.
     """
 
     replica: str
-    good: bool
+    succeeded: bool
     answered: bool = True
 
 
-class LoadNote(msgspec.Struct, array_like=True, frozen=True):
+class LoadUpdate(msgspec.Struct, array_like=True, frozen=True):
     """Message with an instance's own load and its recent observations of the replicas.
 
     Attributes
     ----------
     instance : str
         Name of the sending instance.
-    shares : list of ReplicaShare
+    usages : list of ReplicaUsage
         Its usage of each replica; it has no requests at replicas that are missing.
-    news : list of ReplicaNews
+    reports : list of ReplicaReport
         Load reports that it read recently.
     listed : list of ListedReplica
         Recent changes that it found in the platform's list.
@@ -188,41 +188,43 @@
     """
 
     instance: str
-    shares: list[ReplicaShare]
-    news: list[ReplicaNews] = []
+    usages: list[ReplicaUsage]
+    reports: list[ReplicaReport] = []
     listed: list[ListedReplica] = []
     quarantine: QuarantineNote = QuarantineNote()
     limits: list[LimitUpdate] = []
     paces: list[PaceUpdate] = []
 
 
-def total(shares: list[ReplicaShare]) -> ReplicaShare:
+def sum_usages(shares: list[ReplicaUsage]) -> ReplicaUsage:
     """Return the sum of the usages of one replica; `shares` must not be empty."""
-    joins = [s.joins_in_s for s in shares if s.joins_in_s is not None]
-    return ReplicaShare(
+    joins = [s.resumes_in_s for s in shares if s.resumes_in_s is not None]
+    return ReplicaUsage(
         replica=shares[0].replica,
         running=sum(s.running for s in shares),
         tokens=sum(s.tokens for s in shares),
         unread_tokens=sum(s.unread_tokens for s in shares),
         used_tokens=sum(s.used_tokens for s in shares),
         copies=tuple(copy for s in shares for copy in s.copies),
-        uncovered=tuple(note for s in shares for note in s.uncovered),
-        arriving=sum(s.arriving for s in shares),
-        joins_in_s=min((s for s in joins if s + RESUME_TOLERANCE_S > 0.0), default=None),
+        unreplicated=tuple(note for s in shares for note in s.unreplicated),
+        pending_transfers=sum(s.pending_transfers for s in shares),
+        resumes_in_s=min((s for s in joins if s + RESUME_TOLERANCE_S > 0.0), default=None),
     )
 
 
-def shortened(share: ReplicaShare) -> ReplicaShare:
+def with_aggregated_copies(share: ReplicaUsage) -> ReplicaUsage:
     """Return a usage whose copies and unreplicated generations are one total each.
 
     Sent to instances that have no allocation at the replica: they don't need the details.
     """
     return msgspec.structs.replace(
-        share, copies=_aggregated(share.copies), uncovered=_aggregated(share.uncovered)
+        share, copies=_aggregated(share.copies), unreplicated=_aggregated(share.unreplicated)
     )
 
 
-def _aggregated(notes: tuple[MemoryNote, ...]) -> tuple[MemoryNote, ...]:
+def _aggregated(notes: tuple[AllocationSummary, ...]) -> tuple[AllocationSummary, ...]:
     if not notes:
         return ()
-    return (MemoryNote(0, sum(n.tokens for n in notes), max(n.stake for n in notes)),)
+    return (
+        AllocationSummary(0, sum(n.tokens for n in notes), max(n.expected_loss for n in notes)),
+    )
--- a/reachlink/requests/_obstacles.py
+++ b/reachlink/requests/_obstacles.py
@@ -11,20 +11,20 @@
     CUT_OFF = "zone_cut_off"
 
     @property
-    def come_back_in_s(self) -> float:
+    def retry_after_s(self) -> float:
         """Time in seconds after which a refused caller should retry."""
         return _RETRY_AFTER_S[self]
 
 
 # The load balancer needs two readiness checks, one second apart, to redirect callers to other
 # zones.
-ELSEWHERE_AFTER_S = 1.2
+OTHER_ZONE_RETRY_S = 1.2
 # An operator's order puts a zone back into service and takes up to one second to reach every
 # instance. Callers that retry sooner fail again; a much longer time keeps them away needlessly.
 ZONE_IN_SERVICE_RETRY_S = 2.0
 
 _RETRY_AFTER_S = {
     Obstacle.OUT_OF_SERVICE: ZONE_IN_SERVICE_RETRY_S,
-    Obstacle.HOME_OUT_OF_REACH: ELSEWHERE_AFTER_S,
-    Obstacle.CUT_OFF: ELSEWHERE_AFTER_S,
+    Obstacle.HOME_OUT_OF_REACH: OTHER_ZONE_RETRY_S,
+    Obstacle.CUT_OFF: OTHER_ZONE_RETRY_S,
 }
--- a/reachlink/requests/_outcome_recorder.py
+++ b/reachlink/requests/_outcome_recorder.py
@@ -5,10 +5,10 @@
 from reachlink.membership import LeavingSource
 from reachlink.quarantine import BrokenRun, CrashGuard
 from reachlink.requests._attempts import AttemptFailure
-from reachlink.requests._load_notes import ReplicaOutcome
+from reachlink.requests._load_updates import ReplicaOutcome
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import AnswerHead, Replica
 
@@ -20,13 +20,13 @@
     ----------
     parts : RunnerParts
         Dependencies.
-    placing : Placing
+    placing : Placer
         Avoids zones that could not be reached.
     guard : CrashGuard
         Finds out which requests crash replicas.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placing, guard: CrashGuard) -> None:
+    def __init__(self, parts: RunnerParts, placing: Placer, guard: CrashGuard) -> None:
         self._parts = parts
         self._placing = placing
         self._guard = guard
@@ -34,17 +34,17 @@
 
     def record_success(self, request: CallerRequest, replica: Replica) -> None:
         """Record that a replica delivered its answer."""
-        self._record_outcome(ReplicaOutcome(replica.name, good=True))
+        self._record_outcome(ReplicaOutcome(replica.name, succeeded=True))
         self._guard.on_answer(request.relay.fingerprint)
 
     def record_failed_answer(self, request: CallerRequest, replica: Replica) -> None:
         """Record that a replica answered with a server error."""
-        self._record_outcome(ReplicaOutcome(replica.name, good=False))
+        self._record_outcome(ReplicaOutcome(replica.name, succeeded=False))
         self._guard.on_answer(request.relay.fingerprint)
 
     def record_no_answer(self, replica: Replica) -> None:
         """Record that a replica gave no answer, or not a genuine one."""
-        self._record_outcome(ReplicaOutcome(replica.name, good=False, answered=False))
+        self._record_outcome(ReplicaOutcome(replica.name, succeeded=False, answered=False))
 
     def record_unreachable(self, replica: Replica) -> None:
         """Record that no connection to a replica could be made."""
@@ -123,5 +123,5 @@
 
     def _record_outcome(self, outcome: ReplicaOutcome) -> None:
         parts = self._parts
-        parts.book.note_outcome(outcome, parts.clock(), parts.random)
-        parts.book.keep_outcome(outcome)
+        parts.book.record_outcome(outcome, parts.clock(), parts.random)
+        parts.book.buffer_outcome(outcome)
--- a/reachlink/requests/_outlook.py
+++ b/reachlink/requests/_outlook.py
@@ -40,10 +40,10 @@
 
     Examples
     --------
-    >>> outlook = Outlook(3000, 400, max_tokens=1000, last_event=25, tokens_per_event=4)
-    >>> outlook.made_tokens, outlook.used_tokens, outlook.remaining_tokens
+    >>> outlook = GenerationProgress(3000, 400, max_tokens=1000, last_event=25, tokens_per_event=4)
+    >>> outlook.output_tokens, outlook.used_tokens, outlook.remaining_tokens
     (100, 3100, 300)
-    >>> outlook.stake(near=True), outlook.stake(near=False)
+    >>> outlook.expected_loss(near=True), outlook.expected_loss(near=False)
     (6363, 12727)
     """
 
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -9,12 +9,12 @@
 from reachlink.membership import LeavingSource
 from reachlink.pacing import PacingTracker
 from reachlink.quarantine import Quarantine
-from reachlink.requests._book import ReplicaBook
-from reachlink.requests._cold_rates import Deciders
-from reachlink.requests._departures import Departures
+from reachlink.requests._cold_rates import PlacementDeciders
 from reachlink.requests._model import CallerRequest
-from reachlink.requests._place_question import AskCoordinator, decide_here
-from reachlink.requests._shared_load import SharedLoad
+from reachlink.requests._peer_load import PeerLoad
+from reachlink.requests._placement_query import AskCoordinator, decide_here
+from reachlink.requests._replica_tracker import ReplicaTracker
+from reachlink.requests._shutdown_times import ShutdownTimes
 from reachlink.scheduling import SchedulingSettings
 from reachlink.upstreams import RelayAdapter, Replica
 
@@ -96,15 +96,15 @@
         Client of the replicas.
     directory : Directory
         Known replicas.
-    book : ReplicaBook
+    book : ReplicaTracker
         Load and health of the replicas, and the requests of this instance at them.
-    shared : SharedLoad
+    shared : PeerLoad
         Load of the other entry instances at the replicas.
     random : random.Random
         Random number generator, for example for breaking ties.
     silent_zones : callable
         Returns the zones that this instance cannot reach, as far as it can tell.
-    departures : Departures
+    departures : ShutdownTimes
         Expected shutdown times of leaving replicas.
     clock : callable
         Monotonic time in seconds.
@@ -140,8 +140,8 @@
     zone: str
     adapter: RelayAdapter
     directory: Directory
-    book: ReplicaBook
-    shared: SharedLoad
+    book: ReplicaTracker
+    shared: PeerLoad
     random: Random
     on_outcome: Callable[[CallerRequest, str, float], None]
     retry_limits: RetryLimits = RetryLimits()
@@ -150,10 +150,10 @@
     on_gone: Callable[[str], None] = lambda name: None
     cut_off: Callable[[], bool] = lambda: False
     silent_zones: Callable[[], Set[str]] = frozenset
-    departures: Departures = field(default_factory=Departures)
+    departures: ShutdownTimes = field(default_factory=ShutdownTimes)
     clock: Callable[[], float] = steady_time
     ask_coordinator: AskCoordinator = decide_here
-    deciders: Callable[[], Deciders] = lambda: Deciders("", ("",))
+    deciders: Callable[[], PlacementDeciders] = lambda: PlacementDeciders("", ("",))
     quarantine: Quarantine = field(default_factory=lambda: Quarantine(Random()))
     pacing: PacingTracker = field(default_factory=lambda: PacingTracker(Random()))
     admit: Callable[[str, float], Awaitable[None]] = admit_immediately
--- a/reachlink/requests/_shared_load.py
+++ b/reachlink/requests/_peer_load.py
@@ -7,7 +7,12 @@
 
 import msgspec
 
-from reachlink.requests._load_notes import RESUME_TOLERANCE_S, LoadNote, ReplicaShare, total
+from reachlink.requests._load_updates import (
+    RESUME_TOLERANCE_S,
+    LoadUpdate,
+    ReplicaUsage,
+    sum_usages,
+)
 
 # How long the last message of an instance is valid, in seconds. Each instance sends its load
 # at least once a second.
@@ -21,7 +26,7 @@
 class _InstanceUsages:
     """Usage of each replica by one instance, and the monotonic time of its message."""
 
-    usages: dict[str, ReplicaShare]
+    usages: dict[str, ReplicaUsage]
     received_at: float
 
 
@@ -31,7 +36,7 @@
 
     Attributes
     ----------
-    usage : ReplicaShare
+    usage : ReplicaUsage
         Sum of the usages, without the time until the next generation resumes.
     resume_times : tuple of float
         Monotonic times in seconds at which generations are expected to resume there.
@@ -39,30 +44,30 @@
         Monotonic time in seconds at which the first summand expires.
     """
 
-    usage: ReplicaShare
+    usage: ReplicaUsage
     resume_times: tuple[float, ...]
     valid_until: float
 
-    def usage_at(self, now: float) -> ReplicaShare:
+    def usage_at(self, now: float) -> ReplicaUsage:
         """Return the sum with the time until the next generation resumes."""
         if not self.resume_times:
             return self.usage
         later = [round(at - now, 3) for at in self.resume_times if at + RESUME_TOLERANCE_S > now]
-        return msgspec.structs.replace(self.usage, joins_in_s=min(later, default=None))
+        return msgspec.structs.replace(self.usage, resumes_in_s=min(later, default=None))
 
 
-class SharedLoad:
+class PeerLoad:
     """Keeps the load that the other instances sent, and sums it up for each replica.
 
     Examples
     --------
-    >>> load = SharedLoad()
-    >>> load.take(LoadNote("e1", [ReplicaShare("r1", running=2, tokens=7000)]), 0.0)
-    >>> load.at("r1", 1.0).tokens
+    >>> load = PeerLoad()
+    >>> load.update(LoadUpdate("e1", [ReplicaUsage("r1", running=2, tokens=7000)]), 0.0)
+    >>> load.usage_at("r1", 1.0).tokens
     7000
-    >>> load.at("r1", 1.0, without="e1").tokens
+    >>> load.usage_at("r1", 1.0, without="e1").tokens
     0
-    >>> load.at("r1", 9.0).tokens
+    >>> load.usage_at("r1", 9.0).tokens
     0
     """
 
@@ -78,16 +83,16 @@
         # an instance has been silent.
         self._last_heard: dict[str, float] = {}
 
-    def take(self, note: LoadNote, now: float) -> None:
+    def update(self, note: LoadUpdate, now: float) -> None:
         """Replace the load of one instance by that of its new message."""
         self._last_heard[note.instance] = now
         self._drop(note.instance)
-        self._usages[note.instance] = _InstanceUsages({s.replica: s for s in note.shares}, now)
-        for share in note.shares:
+        self._usages[note.instance] = _InstanceUsages({s.replica: s for s in note.usages}, now)
+        for share in note.usages:
             self._instances_at.setdefault(share.replica, set()).add(note.instance)
             self._sums.pop(share.replica, None)
 
-    def add(self, instance: str, share: ReplicaShare, now: float) -> None:
+    def add(self, instance: str, share: ReplicaUsage, now: float) -> None:
         """Add to the load of an instance until its next message.
 
         Used for a request that was just placed for the instance. The instance's own message
@@ -100,7 +105,7 @@
             self._drop(instance)
         known = self._usages.setdefault(instance, _InstanceUsages({}, now))
         before = known.usages.get(share.replica)
-        known.usages[share.replica] = total([before, share]) if before else share
+        known.usages[share.replica] = sum_usages([before, share]) if before else share
         self._instances_at.setdefault(share.replica, set()).add(instance)
         self._sums.pop(share.replica, None)
 
@@ -120,14 +125,14 @@
         """Return the monotonic time in seconds of an instance's last message."""
         return self._last_heard.get(instance, float("-inf"))
 
-    def told_by(self, instance: str, now: float) -> list[ReplicaShare]:
+    def usages_of(self, instance: str, now: float) -> list[ReplicaUsage]:
         """Return the usages that one instance sent, with time spans as of now."""
         known = self._usages.get(instance)
         if known is None or now - known.received_at > MESSAGE_VALIDITY_S:
             return []
         return [_with_elapsed(share, now - known.received_at) for share in known.usages.values()]
 
-    def at(self, replica: str, now: float, without: str = "") -> ReplicaShare:
+    def usage_at(self, replica: str, now: float, without: str = "") -> ReplicaUsage:
         """Return the total usage of a replica by the other instances.
 
         Parameters
@@ -147,7 +152,7 @@
         return found.usage_at(now)
 
     def _sum_usages(self, replica: str, now: float, without: str = "") -> _CachedSum:
-        shares: list[ReplicaShare] = []
+        shares: list[ReplicaUsage] = []
         joins: list[float] = []
         until = float("inf")
         for name in list(self._instances_at.get(replica, ())):
@@ -158,10 +163,10 @@
                 share = known.usages[replica]
                 shares.append(share)
                 until = min(until, known.received_at + MESSAGE_VALIDITY_S)
-                if share.joins_in_s is not None:
-                    joins.append(known.received_at + share.joins_in_s)
-        whole = total(shares) if shares else ReplicaShare(replica, 0, 0)
-        return _CachedSum(msgspec.structs.replace(whole, joins_in_s=None), tuple(joins), until)
+                if share.resumes_in_s is not None:
+                    joins.append(known.received_at + share.resumes_in_s)
+        whole = sum_usages(shares) if shares else ReplicaUsage(replica, 0, 0)
+        return _CachedSum(msgspec.structs.replace(whole, resumes_in_s=None), tuple(joins), until)
 
     def _drop(self, instance: str) -> None:
         known = self._usages.pop(instance, None)
@@ -172,7 +177,7 @@
                 del self._instances_at[replica]
 
 
-def _with_elapsed(share: ReplicaShare, passed_s: float) -> ReplicaShare:
-    if share.joins_in_s is None:
+def _with_elapsed(share: ReplicaUsage, passed_s: float) -> ReplicaUsage:
+    if share.resumes_in_s is None:
         return share
-    return msgspec.structs.replace(share, joins_in_s=round(share.joins_in_s - passed_s, 3))
+    return msgspec.structs.replace(share, resumes_in_s=round(share.resumes_in_s - passed_s, 3))
--- a/reachlink/requests/_place_question.py
+++ b/reachlink/requests/_placement_query.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from reachlink.requests._load_notes import ListedReplica, MemoryNote, ReplicaShare
+from reachlink.requests._load_updates import AllocationSummary, ListedReplica, ReplicaUsage
 from reachlink.scheduling import (
     DEPARTURE_COPY_RULES,
     LOCAL_COPY_RULES,
@@ -24,7 +24,7 @@
 )
 
 
-class Purpose(Enum):
+class PlacementPurpose(Enum):
     """Kind of placement: a request, or one of three kinds of copies.
 
     A standing copy is made while the primary stays. A local copy is a standing copy of a
@@ -34,19 +34,19 @@
 
     REQUEST = "request"
     STANDING_COPY = "standing copy"
-    COPY_AT_HOME = "copy at home"
-    RESCUE = "rescue"
+    LOCAL_COPY = "copy at home"
+    DEPARTURE_COPY = "rescue"
 
 
 _TERMS = {
-    Purpose.REQUEST: REQUEST_RULES,
-    Purpose.STANDING_COPY: STANDING_COPY_RULES,
-    Purpose.COPY_AT_HOME: LOCAL_COPY_RULES,
-    Purpose.RESCUE: DEPARTURE_COPY_RULES,
+    PlacementPurpose.REQUEST: REQUEST_RULES,
+    PlacementPurpose.STANDING_COPY: STANDING_COPY_RULES,
+    PlacementPurpose.LOCAL_COPY: LOCAL_COPY_RULES,
+    PlacementPurpose.DEPARTURE_COPY: DEPARTURE_COPY_RULES,
 }
 
 
-class PlaceQuestion(msgspec.Struct, array_like=True, frozen=True):
+class PlacementQuery(msgspec.Struct, array_like=True, frozen=True):
     """Query for the replica that a request, or a copy of a generation, should be sent to.
 
     Attributes
@@ -57,7 +57,7 @@
         Identifier of the request.
     service : str
         Name of the service.
-    purpose : Purpose
+    purpose : PlacementPurpose
         Kind of placement.
     tokens : int
         Memory that is needed, in tokens: for a request when it ends, for a copy now.
@@ -67,9 +67,9 @@
         Names of replicas that must not be chosen.
     zone : str
         Availability zone whose replicas are preferred.
-    calm_only : bool
+    avoid_resuming : bool
         Whether to exclude replicas at which another generation is about to resume.
-    insist : bool
+    force_decision : bool
         Whether a coordinator decides even if it has just started and may not know the
         load of all instances yet.
     zones : tuple of str, optional
@@ -88,70 +88,70 @@
     instance: str
     request_id: str
     service: str
-    purpose: Purpose
+    purpose: PlacementPurpose
     tokens: int
     prompt_tokens: int = 0
     excluded: tuple[str, ...] = ()
     zone: str = ""
-    calm_only: bool = False
-    insist: bool = False
+    avoid_resuming: bool = False
+    force_decision: bool = False
     zones: tuple[str, ...] | None = None
     need: Need | None = None
     hold_s: float | None = None
     fingerprint: int = 0
 
     @property
-    def in_line(self) -> bool:
+    def may_queue(self) -> bool:
         """Whether the request joins a queue if there is no room."""
         return self.hold_s is not None and self.need is not None
 
     @property
     def terms(self) -> PlacementRules:
         """Conditions for the allocation of an engine's memory."""
-        return QUEUED_RULES if self.in_line else _TERMS[self.purpose]
+        return QUEUED_RULES if self.may_queue else _TERMS[self.purpose]
 
-    def occupies(self, replica: str) -> ReplicaShare:
+    def usage_at(self, replica: str) -> ReplicaUsage:
         """Return the usage to assume at the chosen replica until the instance reports its own."""
-        if self.purpose is Purpose.REQUEST:
-            return ReplicaShare(
+        if self.purpose is PlacementPurpose.REQUEST:
+            return ReplicaUsage(
                 replica,
                 running=1,
                 tokens=self.tokens,
                 unread_tokens=self.prompt_tokens,
                 used_tokens=self.prompt_tokens,
             )
-        if self.purpose is Purpose.RESCUE:
-            return ReplicaShare(
-                replica, running=0, tokens=self.tokens, used_tokens=self.tokens, arriving=1
+        if self.purpose is PlacementPurpose.DEPARTURE_COPY:
+            return ReplicaUsage(
+                replica, running=0, tokens=self.tokens, used_tokens=self.tokens, pending_transfers=1
             )
-        copy = MemoryNote(zlib.crc32(self.request_id.encode()), self.tokens, 0)
-        return ReplicaShare(replica, running=0, tokens=0, copies=(copy,), arriving=1)
+        copy = AllocationSummary(zlib.crc32(self.request_id.encode()), self.tokens, 0)
+        return ReplicaUsage(replica, running=0, tokens=0, copies=(copy,), pending_transfers=1)
 
 
-class PlaceAnswer(msgspec.Struct, array_like=True, frozen=True):
+class PlacementReply(msgspec.Struct, array_like=True, frozen=True):
     """Decision of a coordinator.
 
     Attributes
     ----------
-    settled : bool
+    ready : bool
         Whether the coordinator has been up for long enough to have received the load of
-        all instances. If it has not, it decides only if the query has `insist` set, and
+        all instances. If it has not, it decides only if the query has `force_decision` set, and
         never without a list of replicas.
     replica : ListedReplica, optional
         Chosen replica; None if none is suitable.
-    otherwise : Wait or Refuse, optional
+    wait_or_refuse : Wait or Refuse, optional
         What a request that cannot start now should do.
     """
 
-    settled: bool
+    ready: bool
     replica: ListedReplica | None = None
-    otherwise: Wait | Refuse | None = None
+    wait_or_refuse: Wait | Refuse | None = None
 
 
-AskCoordinator = Callable[[PlaceQuestion], Awaitable[PlaceAnswer | None]]
+AskCoordinator = Callable[[PlacementQuery], Awaitable[PlacementReply | None]]
 """Sends a query to a coordinator; returns None if this instance has to decide itself."""
 
 
-async def decide_here(question: PlaceQuestion) -> PlaceAnswer | None:
+async def decide_here(question: PlacementQuery) -> PlacementReply | None:
     """Return None: this instance decides, since it is a coordinator or knows none."""
     return None
--- a/reachlink/requests/_placing.py
+++ b/reachlink/requests/_placer.py
@@ -9,7 +9,7 @@
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._needs import need_of, need_tokens
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._place_question import PlaceAnswer, PlaceQuestion, Purpose
+from reachlink.requests._placement_query import PlacementPurpose, PlacementQuery, PlacementReply
 from reachlink.requests._reachable_replicas import ReachableReplicas
 from reachlink.requests._replica_options import ReplicaOptions
 from reachlink.routing import Service
@@ -36,7 +36,7 @@
 LEAVING_EXCLUSION_S = 5.0
 
 
-class Placing:
+class Placer:
     """Chooses replicas for requests and for copies of their memory.
 
     Parameters
@@ -81,7 +81,7 @@
         self,
         request: CallerRequest,
         tried: set[str],
-        calm_only: bool = False,
+        avoid_resuming: bool = False,
         within_s: float = 0.0,
     ) -> Replica | None:
         """Return the replica that a request should be sent to, or None if there is none.
@@ -92,7 +92,7 @@
             Request to place.
         tried : set of str
             Names of replicas that must not be chosen.
-        calm_only : bool
+        avoid_resuming : bool
             Whether to exclude replicas at which another generation is about to resume:
             processing the prompt would delay it, and its caller would see a pause.
         within_s : float
@@ -100,14 +100,14 @@
             with a rate limit.
         """
         excluded = tried | self._held_replicas(request.service, within_s)
-        question = self.question(request, excluded, calm_only)
+        question = self.query(request, excluded, avoid_resuming)
         answer = await self._ask(request.service, question)
         return (
             self.decide(request.service, question) if answer is None else self._replica_of(answer)
         )
 
     async def place_queued(
-        self, request: CallerRequest, tried: set[str], calm_only: bool, hold_s: float
+        self, request: CallerRequest, tried: set[str], avoid_resuming: bool, hold_s: float
     ) -> Replica | Wait | Refuse | None:
         """Return the decision of the queue's owner: a replica, to wait, or to refuse.
 
@@ -117,7 +117,7 @@
             Request to place.
         tried : set of str
             Names of replicas that must not be chosen.
-        calm_only : bool
+        avoid_resuming : bool
             Whether to exclude replicas at which another generation is about to resume.
         hold_s : float
             Maximum time in seconds for which the answer may be delayed until there is room.
@@ -128,38 +128,43 @@
             None if the queue has no owner and there is no room.
         """
         excluded = tried | self._held_replicas(request.service)
-        asked = self.question(request, excluded, calm_only)
+        asked = self.query(request, excluded, avoid_resuming)
         question = structs.replace(asked, hold_s=hold_s)
         answer = await self._ask(request.service, question)
         if answer is None:
             return self.decide(request.service, question)
         if answer.replica is None:
-            return answer.otherwise
+            return answer.wait_or_refuse
         # A replica that is known here to be leaving gives no room, and the request has lost
         # its position in the queue: it asks again at once.
         return self._replica_of(answer) or Wait(0.0)
 
-    def question(
-        self, request: CallerRequest, tried: set[str], calm_only: bool = False
-    ) -> PlaceQuestion:
+    def query(
+        self, request: CallerRequest, tried: set[str], avoid_resuming: bool = False
+    ) -> PlacementQuery:
         """Return the placement query for a request; see `place` for the parameters."""
-        return PlaceQuestion(
+        return PlacementQuery(
             instance="",
             request_id=request.request_id,
             service=request.service.name,
-            purpose=Purpose.REQUEST,
+            purpose=PlacementPurpose.REQUEST,
             tokens=need_tokens(request),
             prompt_tokens=request.prompt_tokens,
             excluded=tuple(tried),
             zone=self._parts.zone,
-            calm_only=calm_only,
+            avoid_resuming=avoid_resuming,
             zones=_sorted_zones(request.zones),
             need=need_of(request, self._parts.clock()),
             fingerprint=request.relay.fingerprint,
         )
 
     async def place_copy(
-        self, request: CallerRequest, excluded: set[str], tokens: int, purpose: Purpose, zone: str
+        self,
+        request: CallerRequest,
+        excluded: set[str],
+        tokens: int,
+        purpose: PlacementPurpose,
+        zone: str,
     ) -> Replica | None:
         """Return the replica that a copy of a generation should be sent to, if any.
 
@@ -171,12 +176,12 @@
             Names of replicas that must not be chosen.
         tokens : int
             Memory that the generation takes now, in tokens.
-        purpose : Purpose
+        purpose : PlacementPurpose
             Kind of copy.
         zone : str
             Availability zone whose replicas are preferred; if empty, this instance's zone.
         """
-        question = PlaceQuestion(
+        question = PlacementQuery(
             instance="",
             request_id=request.request_id,
             service=request.service.name,
@@ -190,12 +195,12 @@
         found = self.decide(request.service, question)
         # The local information is at most a second old. It is good enough to avoid sending
         # many futile queries per second for copies that are wanted but not urgent.
-        if found is None and purpose is not Purpose.RESCUE:
+        if found is None and purpose is not PlacementPurpose.DEPARTURE_COPY:
             return None
         answer = await self._ask(request.service, question)
         return found if answer is None else self._replica_of(answer)
 
-    def _replica_of(self, answer: PlaceAnswer) -> Replica | None:
+    def _replica_of(self, answer: PlacementReply) -> Replica | None:
         """Return the replica of a coordinator's answer, unless it may not get new work."""
         listed = answer.replica
         if listed is None:
@@ -205,7 +210,7 @@
         )
         return replica if self.takes_work(replica) else None
 
-    async def _ask(self, service: Service, question: PlaceQuestion) -> PlaceAnswer | None:
+    async def _ask(self, service: Service, question: PlacementQuery) -> PlacementReply | None:
         if service.engine is None:
             return None
         parts = self._parts
@@ -215,7 +220,7 @@
         return await parts.ask_coordinator(structs.replace(question, excluded=excluded))
 
     def start(
-        self, service: Service, question: PlaceQuestion, line: QueueState = EMPTY_QUEUE
+        self, service: Service, question: PlacementQuery, line: QueueState = EMPTY_QUEUE
     ) -> Start:
         """Return where and when a request or copy could start, by this instance's information.
 
@@ -223,7 +228,7 @@
         ----------
         service : Service
             Service of the request.
-        question : PlaceQuestion
+        question : PlacementQuery
             Placement query.
         line : QueueState
             Requests ahead in the queue.
@@ -234,29 +239,29 @@
             return best_start((), need, self._parts.random, line, question.terms)
         options = self._options_for(service, question)
         start = best_start(options, need, self._parts.random, line, question.terms)
-        if isinstance(start, Begin) and question.purpose is Purpose.REQUEST:
+        if isinstance(start, Begin) and question.purpose is PlacementPurpose.REQUEST:
             self._cold.note_sent(start.replica)
         return start
 
-    def has_room(self, service: Service, question: PlaceQuestion) -> bool:
+    def has_room(self, service: Service, question: PlacementQuery) -> bool:
         """Return whether a replica has room for a request or copy now."""
         options = self._options_for(service, question)
         random, terms = self._parts.random, question.terms
         return choose_replica(options, question.tokens, random, terms) is not None
 
-    def _options_for(self, service: Service, question: PlaceQuestion) -> list[ReplicaOption]:
+    def _options_for(self, service: Service, question: PlacementQuery) -> list[ReplicaOption]:
         """Return the replicas that are allowed for a request or copy."""
         excluded = set(question.excluded)
-        if question.purpose is Purpose.REQUEST:
+        if question.purpose is PlacementPurpose.REQUEST:
             excluded.update(self._cold.at_limit(service))
-        options = self._options.of(service, excluded, question.zone)
+        options = self._options.for_service(service, excluded, question.zone)
         if question.zones is not None:
             options = [o for o in options if self._zone_of(o.name) in question.zones]
-        if question.calm_only:
+        if question.avoid_resuming:
             options = [o for o in options if prefill_ends_before_resume(o, PROMPT_DELAY_S)]
         return options
 
-    def decide(self, service: Service, question: PlaceQuestion) -> Replica | None:
+    def decide(self, service: Service, question: PlacementQuery) -> Replica | None:
         """Return the replica at which a request or copy can start now, if any.
 
         Uses only this instance's information and asks no coordinator.
@@ -291,7 +296,7 @@
         usable = [replica.address for replica in self._usable(request, tried, now)]
         return parts.pacing.hold(usable, now)
 
-    def refusing(self, request: CallerRequest, tried: Set[str]) -> set[str]:
+    def refusing_replicas(self, request: CallerRequest, tried: Set[str]) -> set[str]:
         """Return the replicas that refuse requests; the empty set if all allowed ones do."""
         now = self._parts.clock()
         is_refusing = self._parts.pacing.refusals.is_refusing
--- a/reachlink/requests/_line_placing.py
+++ b/reachlink/requests/_queue_placer.py
@@ -4,7 +4,7 @@
 
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
 from reachlink.requests._wait_limits import (
     QUEUE_POLL_TIMEOUT_S,
     ROOM_POLL_INTERVAL_S,
@@ -22,22 +22,22 @@
 MAX_NO_OWNER_POLL_S = 2.5
 
 
-class LinePlacing:
+class QueuePlacer:
     """Queues requests at the queue's owner with long polling: the owner delays its replies.
 
     Parameters
     ----------
     parts : RunnerParts
         Shared components of the request runner.
-    placing : Placing
+    placing : Placer
         Sends queries to the queue's owner.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placing) -> None:
+    def __init__(self, parts: RunnerParts, placing: Placer) -> None:
         self._parts = parts
         self._placing = placing
 
-    def serves(self, request: CallerRequest) -> bool:
+    def uses_queue(self, request: CallerRequest) -> bool:
         """Return whether a request uses the queue if there is no room."""
         return self._parts.scheduling.line and request.service.engine is not None
 
@@ -62,10 +62,10 @@
         kept_at = parts.clock()
         while True:
             asked_at = parts.clock()
-            calm_only = may_wait_for_room(request, asked_at)
+            avoid_resuming = may_wait_for_room(request, asked_at)
             # The first reply is not delayed, so that a missing owner is noticed early.
             hold_s = QUEUE_POLL_TIMEOUT_S if in_line else 0.0
-            found = await self._placing.place_queued(request, tried, calm_only, hold_s)
+            found = await self._placing.place_queued(request, tried, avoid_resuming, hold_s)
             if isinstance(found, Replica | Refuse):
                 return found
             if found is None and not in_line:
--- a/reachlink/requests/_reachable_replicas.py
+++ b/reachlink/requests/_reachable_replicas.py
@@ -42,7 +42,7 @@
         away = self._excluded_until.keys() | self._parts.silent_zones()
         return [r for r in live if r.availability_zone not in away]
 
-    def out_of_reach(self, service: str) -> bool:
+    def none_reachable(self, service: str) -> bool:
         """Return whether this zone is partitioned and has no replica of a service."""
         if not self._parts.cut_off():
             return False
@@ -65,7 +65,7 @@
             return Obstacle.OUT_OF_SERVICE
         if request.zones is not None and not self._reaches_any(service, request.zones):
             return Obstacle.HOME_OUT_OF_REACH
-        return Obstacle.CUT_OFF if self.out_of_reach(service) else None
+        return Obstacle.CUT_OFF if self.none_reachable(service) else None
 
     def _all_out_of_service(self, service: str) -> bool:
         """Return whether a service has replicas, all of them in zones out of service."""
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -1,10 +1,10 @@
 """Load and health of replicas as input for the choice among them."""
 
 from reachlink.placement import allowances
-from reachlink.requests._book import ReplicaState
-from reachlink.requests._load_notes import total
+from reachlink.requests._load_updates import sum_usages
 from reachlink.requests._parts import RunnerParts
 from reachlink.requests._reachable_replicas import ReachableReplicas
+from reachlink.requests._replica_tracker import ReplicaState
 from reachlink.routing import Service
 from reachlink.scheduling import Pace, ReplicaOption
 from reachlink.upstreams import Replica
@@ -28,7 +28,9 @@
         self._parts = parts
         self._reachable = reachable
 
-    def of(self, service: Service, excluded: set[str], zone: str = "") -> list[ReplicaOption]:
+    def for_service(
+        self, service: Service, excluded: set[str], zone: str = ""
+    ) -> list[ReplicaOption]:
         """Return the load and health of the reachable replicas of a service.
 
         Parameters
@@ -44,14 +46,14 @@
         now = parts.clock()
         live = [r for r in self._reachable.live(service.name, now) if r.name not in excluded]
         states = {r.name: parts.book.state(r.name) for r in live}
-        told = {name: state.allowance_told(now) for name, state in states.items()}
+        told = {name: state.allowance_from_coordinator(now) for name, state in states.items()}
         trust = allowances({name: s.health for name, s in states.items()}, now, told)
         near = zone or parts.zone
         return [self._option(service, r, states[r.name], trust[r.name], near, now) for r in live]
 
-    def shown(self, service: Service, excluded: set[str]) -> str:
+    def describe(self, service: Service, excluded: set[str]) -> str:
         """Return the state of the least loaded replicas of a service as text for a log line."""
-        options = sorted(self.of(service, excluded), key=lambda o: (o.tokens, o.running))
+        options = sorted(self.for_service(service, excluded), key=lambda o: (o.tokens, o.running))
         shown = " ".join(
             f"{o.name}:{o.tokens}:{o.used_tokens}+{o.copy_tokens}"
             f":{o.reported_tokens}/{o.capacity_tokens}"
@@ -74,9 +76,9 @@
         now: float,
     ) -> ReplicaOption:
         engine = service.engine
-        all_shares = self._parts.shared.at(replica.name, now)
-        if state.flights:
-            all_shares = total([all_shares, state.share(replica.name, now)])
+        all_shares = self._parts.shared.usage_at(replica.name, now)
+        if state.allocations:
+            all_shares = sum_usages([all_shares, state.usage(replica.name, now)])
         sampled = state.sample.slots if state.sample else 0
         copies = all_shares.copy_tokens
         reported = state.reported_tokens(now)
@@ -89,11 +91,11 @@
             used_tokens=max(all_shares.used_tokens, reported - copies),
             copy_tokens=copies,
             reported_tokens=reported,
-            pending_transfers=all_shares.arriving,
+            pending_transfers=all_shares.pending_transfers,
             unread_tokens=all_shares.unread_tokens,
             capacity_tokens=engine.kv_capacity_tokens if engine else 0,
             allowance=trust,
-            resumes_in_s=all_shares.joins_in_s,
+            resumes_in_s=all_shares.resumes_in_s,
             pace=self._pace(service, replica, now),
             tokens_per_event=engine.tokens_per_event if engine else 1,
             own_running=state.own_running,
--- a/reachlink/requests/_replica_pace.py
+++ b/reachlink/requests/_replica_pace.py
@@ -21,18 +21,18 @@
     def note_load(self, replica: Replica, load: LoadSample, now: float) -> None:
         """Record the load that a replica reported, and its pace if it reported one."""
         book = self._parts.book
-        book.state(replica.name).take_sample(load, now)
+        book.state(replica.name).record_sample(load, now)
         if load.pace is not None:
             book.paces.record_reported(replica.upstream, replica.name, load.pace, now)
 
-    def reads_beside(self, replica: Replica) -> bool:
+    def has_unread_prompts(self, replica: Replica) -> bool:
         """Return whether a replica has prompts to process, which delay its generations."""
         parts = self._parts
         if parts.book.state(replica.name).own_unread_tokens:
             return True
-        return parts.shared.at(replica.name, parts.clock()).unread_tokens > 0
+        return parts.shared.usage_at(replica.name, parts.clock()).unread_tokens > 0
 
-    def note_rhythm(self, request: CallerRequest, replica: Replica, event_s: float) -> None:
+    def note_event_interval(self, request: CallerRequest, replica: Replica, event_s: float) -> None:
         """Record the interval between events of a generation while no prompt is processed.
 
         Parameters
@@ -49,7 +49,7 @@
             return
         now = parts.clock()
         state = parts.book.state(replica.name)
-        others = parts.shared.at(replica.name, now).running
+        others = parts.shared.usage_at(replica.name, now).running
         running = state.running(now, state.own_running + others)
         usual_s = nominal_event_interval_s(running, engine.tokens_per_event)
         parts.book.paces.record_measured(replica.upstream, replica.name, event_s / usual_s, now)
--- a/reachlink/requests/_book.py
+++ b/reachlink/requests/_replica_tracker.py
@@ -9,12 +9,12 @@
 import msgspec
 
 from reachlink.placement import Health
-from reachlink.requests._load_notes import (
+from reachlink.requests._load_updates import (
     RESUME_TOLERANCE_S,
-    MemoryNote,
-    ReplicaNews,
+    AllocationSummary,
     ReplicaOutcome,
-    ReplicaShare,
+    ReplicaReport,
+    ReplicaUsage,
 )
 from reachlink.scheduling import PaceTracker
 from reachlink.upstreams import LoadSample
@@ -32,11 +32,11 @@
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
+class Allocation:
     """Memory of a replica that a request of this instance, or a copy of its memory, takes.
 
-    It belongs to a running request (`copy` is false), or to a shadow copy or a backup
-    (`copy` is true). A request that moves gets a new allocation at its new replica.
+    It belongs to a running request (`is_copy` is false), or to a shadow copy or a backup
+    (`is_copy` is true). A request that moves gets a new allocation at its new replica.
 
     Attributes
     ----------
@@ -50,22 +50,22 @@
         first event, and for copies.
     used_tokens : int
         Memory that it takes now, in tokens; increases with each event.
-    copy : bool
+    is_copy : bool
         Whether it holds only a copy of the memory; never changes.
-    gives_way : bool
+    evictable : bool
         Whether it is a shadow copy that is evicted when others need its memory. Set when
         the shadow copy is started while the primary stays; cleared permanently when the
-        primary leaves (`ReplicaBook.hold`). Never set for requests and backups.
-    arriving : bool
+        primary leaves (`ReplicaTracker.mark_not_evictable`). Never set for requests and backups.
+    transfer_pending : bool
         Whether it is a shadow copy whose first transfer has not ended. Set when the
         shadow copy is started, cleared at the first check after the transfer.
-    uncovered : bool
+    unreplicated : bool
         Whether it is a running generation that no other replica has a copy of, and that
         is long enough to be copied before its replica leaves. Updated at each check.
-    stake : int
+    expected_loss : int
         Work that is lost if the generation is lost, weighted by risk
         (`GenerationProgress.expected_loss`). Updated at each check.
-    joins_at : float, optional
+    resumes_at : float, optional
         Monotonic time in seconds at which the generation is expected to resume here
         because its primary leaves. Only for copies.
     body_bytes : int
@@ -77,19 +77,19 @@
     tokens: int
     unread_tokens: int = 0
     used_tokens: int = 0
-    copy: bool = False
-    gives_way: bool = False
-    arriving: bool = False
-    uncovered: bool = False
-    stake: int = 0
-    joins_at: float | None = None
+    is_copy: bool = False
+    evictable: bool = False
+    transfer_pending: bool = False
+    unreplicated: bool = False
+    expected_loss: int = 0
+    resumes_at: float | None = None
     body_bytes: int = 0
 
     @property
-    def note(self) -> MemoryNote:
+    def summary(self) -> AllocationSummary:
         """Summary of this allocation that is sent to the other instances."""
         key = zlib.crc32(self.request_id.encode())
-        return MemoryNote(key=key, tokens=self.used_tokens, stake=self.stake)
+        return AllocationSummary(key=key, tokens=self.used_tokens, expected_loss=self.expected_loss)
 
 
 @dataclass(slots=True)
@@ -98,11 +98,11 @@
 
     Attributes
     ----------
-    flights : set of Flight
+    allocations : set of Allocation
         Allocations of this instance's own requests at the replica.
     health : Health
         Health that follows from the outcomes of requests.
-    report : ReplicaNews, optional
+    report : ReplicaReport, optional
         Last load report of the replica, which this or another instance read.
     reported_at : float
         Monotonic time in seconds at which `report` was read.
@@ -112,57 +112,57 @@
         Monotonic time in seconds at which `sample` was received.
     own_running_at_sample : int
         Number of this instance's running requests at the replica at `sampled_at`.
-    told_allowance : float
+    coordinator_allowance : float
         Share of its usual load, from 0 to 1, that the replica may get according to a
         coordinator.
-    told_at : float
-        Monotonic time in seconds at which `told_allowance` was received.
+    coordinator_allowance_at : float
+        Monotonic time in seconds at which `coordinator_allowance` was received.
     """
 
-    flights: set[Flight] = field(default_factory=set)
+    allocations: set[Allocation] = field(default_factory=set)
     health: Health = field(default_factory=Health)
-    report: ReplicaNews | None = None
+    report: ReplicaReport | None = None
     reported_at: float = float("-inf")
     sample: LoadSample | None = None
     sampled_at: float = float("-inf")
     own_running_at_sample: int = 0
-    told_allowance: float = 1.0
-    told_at: float = float("-inf")
+    coordinator_allowance: float = 1.0
+    coordinator_allowance_at: float = float("-inf")
 
     @property
     def own_tokens(self) -> int:
         """Memory that own requests need when they end, in tokens, without evictable copies."""
-        return sum(flight.tokens for flight in self.flights if not flight.gives_way)
+        return sum(flight.tokens for flight in self.allocations if not flight.evictable)
 
     @property
     def own_used_tokens(self) -> int:
         """Memory that own requests take now, in tokens, without evictable copies."""
-        return sum(flight.used_tokens for flight in self.flights if not flight.gives_way)
+        return sum(flight.used_tokens for flight in self.allocations if not flight.evictable)
 
     @property
-    def own_evictable_copies(self) -> tuple[MemoryNote, ...]:
+    def own_evictable_copies(self) -> tuple[AllocationSummary, ...]:
         """Summaries of this instance's own evictable copies."""
-        return tuple(flight.note for flight in self.flights if flight.gives_way)
+        return tuple(flight.summary for flight in self.allocations if flight.evictable)
 
     @property
     def own_unread_tokens(self) -> int:
         """Unprocessed prompt tokens of this instance's own requests."""
-        return sum(flight.unread_tokens for flight in self.flights)
+        return sum(flight.unread_tokens for flight in self.allocations)
 
     @property
-    def own_unreplicated(self) -> tuple[MemoryNote, ...]:
+    def own_unreplicated(self) -> tuple[AllocationSummary, ...]:
         """Summaries of this instance's own generations that no other replica has a copy of."""
-        return tuple(flight.note for flight in self.flights if flight.uncovered)
+        return tuple(flight.summary for flight in self.allocations if flight.unreplicated)
 
     @property
     def own_pending_transfers(self) -> int:
         """Number of this instance's copies whose first transfer has not ended."""
-        return sum(1 for flight in self.flights if flight.arriving)
+        return sum(1 for flight in self.allocations if flight.transfer_pending)
 
     @property
     def own_running(self) -> int:
         """Number of requests of this instance at the replica, without copies."""
-        return sum(1 for flight in self.flights if not flight.copy)
+        return sum(1 for flight in self.allocations if not flight.is_copy)
 
     @property
     def answered_at(self) -> float:
@@ -171,12 +171,16 @@
 
     def next_own_resume_at(self, now: float) -> float | None:
         """Return the monotonic time at which the next of this instance's generations resumes."""
-        times = [f.joins_at for f in self.flights if f.joins_at is not None]
+        times = [f.resumes_at for f in self.allocations if f.resumes_at is not None]
         return min((at for at in times if at + RESUME_TOLERANCE_S > now), default=None)
 
-    def allowance_told(self, now: float) -> float:
+    def allowance_from_coordinator(self, now: float) -> float:
         """Return the coordinator's allowance, or 1.0 if there is none or it is out of date."""
-        return self.told_allowance if now - self.told_at < MAX_ALLOWANCE_AGE_S else 1.0
+        return (
+            self.coordinator_allowance
+            if now - self.coordinator_allowance_at < MAX_ALLOWANCE_AGE_S
+            else 1.0
+        )
 
     def running(self, now: float, known_running: int) -> int:
         """Return an estimate of the number of requests there, including waiting ones.
@@ -200,18 +204,18 @@
             return False
         return self.sample.waiting > 0
 
-    def share(self, name: str, now: float) -> ReplicaShare:
+    def usage(self, name: str, now: float) -> ReplicaUsage:
         """Return this instance's usage of the replica, which has the given name."""
-        return ReplicaShare(
+        return ReplicaUsage(
             replica=name,
             running=self.own_running,
             tokens=self.own_tokens,
             unread_tokens=self.own_unread_tokens,
             used_tokens=self.own_used_tokens,
             copies=self.own_evictable_copies,
-            uncovered=self.own_unreplicated,
-            arriving=self.own_pending_transfers,
-            joins_in_s=time_until(self.next_own_resume_at(now), now),
+            unreplicated=self.own_unreplicated,
+            pending_transfers=self.own_pending_transfers,
+            resumes_in_s=time_until(self.next_own_resume_at(now), now),
         )
 
     def reported_tokens(self, now: float) -> int:
@@ -220,26 +224,26 @@
             return 0
         return self.report.kv_used_tokens
 
-    def take_report(self, news: ReplicaNews, read_at: float) -> bool:
+    def record_report(self, news: ReplicaReport, read_at: float) -> bool:
         """Store a report; return whether it is newer than the stored one."""
         if read_at <= self.reported_at:
             return False
         self.report, self.reported_at = news, read_at
         return True
 
-    def news(self, now: float) -> ReplicaNews | None:
+    def current_report(self, now: float) -> ReplicaReport | None:
         """Return the last report of the replica with its age as of now."""
         if self.report is None:
             return None
         return msgspec.structs.replace(self.report, age_s=round(now - self.reported_at, 3))
 
-    def take_sample(self, sample: LoadSample, now: float) -> None:
+    def record_sample(self, sample: LoadSample, now: float) -> None:
         """Store a load sample that the replica sent."""
         self.sample, self.sampled_at = sample, now
         self.own_running_at_sample = self.own_running
 
 
-class ReplicaBook:
+class ReplicaTracker:
     """Keeps the states of all replicas by name.
 
     Parameters
@@ -266,79 +270,79 @@
             found = self._states[name] = ReplicaState()
         return found
 
-    def note_outcome(self, outcome: ReplicaOutcome, now: float, random: Random) -> None:
+    def record_outcome(self, outcome: ReplicaOutcome, now: float, random: Random) -> None:
         """Apply the outcome of a request of this or another instance to a replica's health."""
         health = self.state(outcome.replica).health
-        if outcome.good:
+        if outcome.succeeded:
             health.on_success(now)
         else:
             health.on_failure(now, random, outcome.answered)
 
-    def keep_outcome(self, outcome: ReplicaOutcome) -> None:
+    def buffer_outcome(self, outcome: ReplicaOutcome) -> None:
         """Queue the outcome of an own request for the next message to a coordinator."""
         self._outcomes.append(outcome)
 
-    def take_outcomes(self) -> list[ReplicaOutcome]:
+    def pop_outcomes(self) -> list[ReplicaOutcome]:
         """Return the queued outcomes and clear the queue."""
         outcomes = list(self._outcomes)
         self._outcomes.clear()
         return outcomes
 
-    def add(self, replica: str, flight: Flight) -> None:
+    def add(self, replica: str, flight: Allocation) -> None:
         """Add the allocation of a request or a copy to a replica."""
-        self.state(replica).flights.add(flight)
-        self.touch()
+        self.state(replica).allocations.add(flight)
+        self.notify_listeners()
 
-    def remove(self, replica: str, flight: Flight) -> None:
+    def remove(self, replica: str, flight: Allocation) -> None:
         """Remove an allocation from a replica."""
-        self.state(replica).flights.discard(flight)
-        self.touch()
+        self.state(replica).allocations.discard(flight)
+        self.notify_listeners()
 
-    def has_read(self, flight: Flight) -> None:
+    def mark_prompt_read(self, flight: Allocation) -> None:
         """Record that the replica has processed a request's prompt."""
         if flight.unread_tokens:
             flight.unread_tokens = 0
-            self.touch()
+            self.notify_listeners()
 
-    def start_again(self, replica: str) -> None:
+    def reset_replica(self, replica: str) -> None:
         """Reset the state of a replica that has restarted, except for its allocations."""
         before = self._states.get(replica)
         if before is not None:
-            self._states[replica] = ReplicaState(flights=before.flights)
+            self._states[replica] = ReplicaState(allocations=before.allocations)
         self._paces.reset_replica(replica)
 
-    def touch(self) -> None:
+    def notify_listeners(self) -> None:
         """Call the listeners: something changed that other instances should learn soon."""
         for listener in self._listeners:
             listener()
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def add_listener(self, listener: Callable[[], None]) -> None:
         """Add a callback for changes that other instances should learn soon."""
         self._listeners.append(listener)
 
     def forget_gone(self, known: Container[str]) -> None:
         """Drop the states of replicas that are not in `known` and have no allocations."""
-        gone = [n for n, s in self._states.items() if n not in known and not s.flights]
+        gone = [n for n, s in self._states.items() if n not in known and not s.allocations]
         for name in gone:
             del self._states[name]
         self._paces.forget_gone(known)
 
-    def carrying(self) -> list[str]:
+    def occupied_replicas(self) -> list[str]:
         """Return the replicas at which this instance's allocations take memory."""
         return [name for name, state in self._states.items() if state.own_tokens]
 
-    def hold(self, flight: Flight) -> None:
+    def mark_not_evictable(self, flight: Allocation) -> None:
         """Record that a copy is no longer evictable."""
-        if flight.gives_way:
-            flight.gives_way = False
-            self.touch()
+        if flight.evictable:
+            flight.evictable = False
+            self.notify_listeners()
 
-    def shares(self, now: float) -> list[ReplicaShare]:
+    def usages(self, now: float) -> list[ReplicaUsage]:
         """Return this instance's usage of each model engine, as of a monotonic time."""
         return [
-            state.share(name, now)
+            state.usage(name, now)
             for name, state in self._states.items()
-            if any(flight.tokens for flight in state.flights)
+            if any(flight.tokens for flight in state.allocations)
         ]
 
 
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -4,16 +4,16 @@
 from typing import Any
 
 from reachlink.quarantine import CrashGuard
+from reachlink.requests._allocations import Allocations
 from reachlink.requests._copy_order import CopyOrder
-from reachlink.requests._flights import Flights
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._outcome_recorder import OutcomeRecorder
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
 from reachlink.requests._replica_pace import ReplicaPace
 from reachlink.requests._retry_policy import RetryPolicy
-from reachlink.requests._timely_placing import TimelyPlacing
 from reachlink.requests._wait_limits import ROOM_POLL_INTERVAL_S, may_wait_for_room
+from reachlink.requests._waiting_placer import WaitingPlacer
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import (
     Continuation,
@@ -40,10 +40,10 @@
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
-        self._placing = Placing(parts)
-        self._timely = TimelyPlacing(parts, self._placing)
+        self._placing = Placer(parts)
+        self._timely = WaitingPlacer(parts, self._placing)
         self._guard = CrashGuard(parts.quarantine, self._touch, parts.clock)
-        self._flights = Flights(parts)
+        self._flights = Allocations(parts)
         self._copy_order = CopyOrder(parts)
         self._pace = ReplicaPace(parts)
         self._retry_policy = RetryPolicy(parts, self._placing)
@@ -51,12 +51,12 @@
         self._log: Any = get_logger()
 
     @property
-    def placing(self) -> Placing:
+    def placing(self) -> Placer:
         """Component that chooses replicas."""
         return self._placing
 
     @property
-    def flights(self) -> Flights:
+    def flights(self) -> Allocations:
         """Requests and copies of this instance at the replicas."""
         return self._flights
 
@@ -126,7 +126,7 @@
         if not self._parts.scheduling.held_bytes:
             return frozenset()
         size = len(request.relay.body)
-        while full := self._flights.full(size):
+        while full := self._flights.full_replicas(size):
             live = {one.name for one in self._parts.directory.live(request.service.name)}
             if live - tried - full:
                 break
@@ -150,7 +150,7 @@
             request.service
         ):
             return set()
-        return self._placing.refusing(request, tried)
+        return self._placing.refusing_replicas(request, tried)
 
     async def wait_for_permit(self, request: CallerRequest, replica: Replica) -> bool:
         """Wait for a permit to resume a stream at a replica; return whether there is one."""
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -7,9 +7,9 @@
 from reachlink.pacing import HoldReason
 from reachlink.requests._attempts import BUDGET_EXEMPT, AttemptFailure, AttemptLog
 from reachlink.requests._model import CallerRequest
-from reachlink.requests._obstacles import ELSEWHERE_AFTER_S
+from reachlink.requests._obstacles import OTHER_ZONE_RETRY_S
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
 from reachlink.requests.exceptions import RequestFailedError
 from reachlink.routing import Service
 from reachlink.scheduling import Refuse
@@ -28,11 +28,11 @@
     ----------
     parts : RunnerParts
         Dependencies.
-    placing : Placing
+    placing : Placer
         Tells why a request finds no replica.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placing) -> None:
+    def __init__(self, parts: RunnerParts, placing: Placer) -> None:
         self._parts = parts
         self._placing = placing
         self._budgets: dict[str, RetryBudget] = {}
@@ -84,7 +84,7 @@
             return self._refusal(request, request.refusal)
         obstacle = self._placing.reachable.obstacle(request)
         if obstacle is not None:
-            wait = obstacle.come_back_in_s
+            wait = obstacle.retry_after_s
             return RequestFailedError(503, obstacle.value, Outcome.NOT_RUN, wait)
         # Includes the replicas that were tried, since a retry of the caller may go to them.
         hold = self._placing.hold(request, frozenset())
@@ -94,7 +94,7 @@
         if hold is not None and hold.reason is not HoldReason.REFUSING:
             wait = max(RETRY_AFTER_S, hold.remaining_s)
             return RequestFailedError(503, hold.reason.value, Outcome.NOT_RUN, wait)
-        wait = ELSEWHERE_AFTER_S if self._parts.cut_off() else RETRY_AFTER_S
+        wait = OTHER_ZONE_RETRY_S if self._parts.cut_off() else RETRY_AFTER_S
         if hold is not None:
             wait = max(wait, hold.remaining_s)
             return RequestFailedError(503, hold.reason.value, Outcome.NOT_RUN, wait)
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -6,7 +6,7 @@
 from reachlink.quarantine import HELD, HeldRequestError
 from reachlink.requests._model import AnswerSink, CallerRequest
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._streams import StreamRunner
 from reachlink.requests._whole_answers import WholeRunner
@@ -32,13 +32,13 @@
         self._running: dict[asyncio.Timeout, CallerRequest] = {}
 
     @property
-    def placing(self) -> Placing:
+    def placing(self) -> Placer:
         """Component that chooses replicas."""
         return self._dispatch.placing
 
     def is_service_unreachable(self, service: str) -> bool:
         """Return whether this zone is cut off and has no replica of a service."""
-        return self._dispatch.placing.reachable.out_of_reach(service)
+        return self._dispatch.placing.reachable.none_reachable(service)
 
     def on_replica_restarted(self, replica: str) -> None:
         """Handle that a replica has restarted under the same name."""
--- a/reachlink/requests/_departures.py
+++ b/reachlink/requests/_shutdown_times.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 # Expected length of a shutdown notice before the first shutdown was observed, in seconds.
-NOTICE_S = 1.8
+SHUTDOWN_NOTICE_S = 1.8
 # Expected age of a report when it is read, before the first shutdown was observed, in seconds.
 INITIAL_REPORT_AGE_S = 0.5
 # Weight of the latest shutdown in the moving averages, from 0 to 1: about four shutdowns count.
@@ -40,51 +40,51 @@
     is_gone: bool = False
 
 
-class Departures:
+class ShutdownTimes:
     """Estimates when each leaving replica is shut down.
 
     Examples
     --------
-    >>> departures = Departures()
-    >>> departures.notice("r1", 100.0)
-    >>> departures.expected("r1")
+    >>> departures = ShutdownTimes()
+    >>> departures.note_leaving("r1", 100.0)
+    >>> departures.expected_at("r1")
     101.8
-    >>> departures.report("r1", 100.6, leaves_in_s=1.7)
-    >>> departures.expected("r1")
+    >>> departures.note_reported_time("r1", 100.6, leaves_in_s=1.7)
+    >>> departures.expected_at("r1")
     101.8
-    >>> departures.gone("r1", 101.6)
-    >>> departures.notice("r2", 200.0)
-    >>> round(departures.expected("r2"), 3)
+    >>> departures.note_gone("r1", 101.6)
+    >>> departures.note_leaving("r2", 200.0)
+    >>> round(departures.expected_at("r2"), 3)
     201.75
     """
 
     def __init__(self) -> None:
         self._leaving: dict[str, _LeavingReplica] = {}
-        self._notice_s = NOTICE_S
+        self._notice_s = SHUTDOWN_NOTICE_S
         self._report_age_s = INITIAL_REPORT_AGE_S
 
-    def notice(self, name: str, now: float) -> None:
+    def note_leaving(self, name: str, now: float) -> None:
         """Record that a replica is leaving, unless that is known already."""
         if name in self._leaving:
             return
         self._leaving = {n: d for n, d in self._leaving.items() if now - d.found_at < RETENTION_S}
         self._leaving[name] = _LeavingReplica(now)
 
-    def report(self, name: str, read_at: float, leaves_in_s: float) -> None:
+    def note_reported_time(self, name: str, read_at: float, leaves_in_s: float) -> None:
         """Record the remaining time in a report, which counts from the report's creation."""
-        self.notice(name, read_at)
+        self.note_leaving(name, read_at)
         self._leaving[name].reported_shutdown_at = read_at + leaves_in_s
 
     def forget(self, name: str) -> None:
         """Forget the shutdown notice of a replica that has restarted."""
         self._leaving.pop(name, None)
 
-    def told(self, name: str) -> bool:
+    def has_reported_time(self, name: str) -> bool:
         """Return whether a report of the replica contained its shutdown time."""
         leaving = self._leaving.get(name)
         return leaving is not None and leaving.reported_shutdown_at is not None
 
-    def expected(self, name: str) -> float | None:
+    def expected_at(self, name: str) -> float | None:
         """Return the expected monotonic time in seconds of a shutdown; None if not leaving."""
         leaving = self._leaving.get(name)
         if leaving is None:
@@ -93,10 +93,10 @@
             return leaving.reported_shutdown_at - self._report_age_s
         return leaving.found_at + self._notice_s
 
-    def gone(self, name: str, now: float) -> None:
+    def note_gone(self, name: str, now: float) -> None:
         """Record that a replica is gone, and update the estimates with the time."""
         leaving = self._leaving.get(name)
-        expected = self.expected(name)
+        expected = self.expected_at(name)
         if leaving is None or leaving.is_gone or expected is None:
             return
         leaving.is_gone = True
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -10,7 +10,7 @@
 from reachlink.requests._answer_body import read_whole
 from reachlink.requests._attempts import AttemptFailure, pacing_failure
 from reachlink.requests._event_merger import EventMerger
-from reachlink.requests._generation_places import GenerationPlaces
+from reachlink.requests._generation_replicas import GenerationReplicas
 from reachlink.requests._model import AnswerSink, CallerRequest
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._stream_times import StreamTimes
@@ -75,7 +75,7 @@
         self._request = request
         self._sink = sink
         self._merger = EventMerger()
-        self._places = GenerationPlaces(dispatch, request, self._merger)
+        self._places = GenerationReplicas(dispatch, request, self._merger)
         self._times = StreamTimes(request.arrived_at)
         self._interval_meter = EventIntervalMeter()
         # Whether the primary had unread prompts when the last event interval was measured.
@@ -92,7 +92,7 @@
 
     async def start(self, replica: Replica) -> AttemptFailure | None:
         """Run the stream to its end; return why it did not start at the replica, if so."""
-        watch = asyncio.create_task(self._places.watch())
+        watch = asyncio.create_task(self._places.maintain_copies())
         fingerprint = self._request.relay.fingerprint
         try:
             await self._places.begin(replica)
@@ -104,7 +104,7 @@
             raise
         finally:
             watch.cancel()
-            self._places.leave()
+            self._places.release()
 
     def _has_given_no_event(self) -> bool:
         """Return whether the caller has got no event yet."""
@@ -112,7 +112,7 @@
 
     async def _run(self) -> AttemptFailure | None:
         try:
-            answer = await self._open(self._places.home, None)
+            answer = await self._open(self._places.primary, None)
         except UpstreamHeldBackError as error:
             return pacing_failure(error)
         except UpstreamUnreachableError:
@@ -122,7 +122,7 @@
         try:
             if answer.head.not_run:
                 return self._dispatch.outcomes.record_refusal(
-                    self._places.home, answer.head, self._sent_at
+                    self._places.primary, answer.head, self._sent_at
                 )
             if answer.head.success and not answer.head.genuine:
                 return AttemptFailure.BROKEN
@@ -210,7 +210,7 @@
         if splitter.rest:
             self._on_broken("stream ended within an event")
             return False
-        self._dispatch.outcomes.record_success(self._request, self._places.home)
+        self._dispatch.outcomes.record_success(self._request, self._places.primary)
         return True
 
     async def _write(self, ready: bytes) -> None:
@@ -277,29 +277,29 @@
         self._dispatch.log.info(
             "stream_paused",
             request_id=self._request.request_id,
-            replica=self._places.home.name,
+            replica=self._places.primary.name,
             event_number=self._merger.last_event_number,
             pause_ms=round(pause * 1000.0),
         )
 
     def _record_interval(self, event_s: float) -> None:
         """Record the event interval if the primary had no unread prompts at its start and end."""
-        home = self._places.home
+        home = self._places.primary
         had_unread_before, self._had_unread_prompts = (
             self._had_unread_prompts,
-            self._dispatch.pace.reads_beside(home),
+            self._dispatch.pace.has_unread_prompts(home),
         )
         if not had_unread_before and not self._had_unread_prompts:
-            self._dispatch.pace.note_rhythm(self._request, home, event_s)
+            self._dispatch.pace.note_event_interval(self._request, home, event_s)
 
     def _log_stream_joined(self, pause_s: float) -> None:
         self._dispatch.log.info(
             "stream_joined",
             request_id=self._request.request_id,
-            replica=self._places.home.name,
+            replica=self._places.primary.name,
             event_number=self._merger.last_event_number,
             pause_ms=round(pause_s * 1000.0),
-            replicas=self._dispatch.placing.options.shown(self._request.service, set()),
+            replicas=self._dispatch.placing.options.describe(self._request.service, set()),
         )
 
     def _log_delivered(self) -> None:
@@ -310,7 +310,7 @@
             request_id=self._request.request_id,
             route=self._request.route.name,
             workspace=self._request.relay.workspace,
-            replica=self._places.home.name,
+            replica=self._places.primary.name,
             prompt_tokens=self._request.prompt_tokens,
             last_event=self._merger.last_event_number,
             first_event_ms=round((times.first_s or 0.0) * 1000.0),
@@ -322,9 +322,9 @@
         )
 
     def _on_broken(self, reason: str) -> None:
-        replica = self._places.home
+        replica = self._places.primary
         if not self._dispatch.placing.stays(replica):
-            self._dispatch.flights.gone(replica)
+            self._dispatch.flights.note_gone(replica)
         self._note_broken(replica)
         self._dispatch.log.warning(
             "stream_broken",
--- a/reachlink/requests/_timely_placing.py
+++ b/reachlink/requests/_waiting_placer.py
@@ -5,11 +5,11 @@
 
 from reachlink.pacing import Hold, HoldReason
 from reachlink.quarantine import fingerprint_text
-from reachlink.requests._line_placing import LinePlacing
 from reachlink.requests._model import CallerRequest
 from reachlink.requests._needs import need_tokens
 from reachlink.requests._parts import RunnerParts
-from reachlink.requests._placing import Placing
+from reachlink.requests._placer import Placer
+from reachlink.requests._queue_placer import QueuePlacer
 from reachlink.requests._wait_limits import (
     ROOM_POLL_INTERVAL_S,
     first_list_deadline,
@@ -22,21 +22,21 @@
 from reachlink.upstreams import Replica, UpstreamHeldBackError
 
 
-class TimelyPlacing:
+class WaitingPlacer:
     """Chooses replicas for requests that may wait for a limited time.
 
     Parameters
     ----------
     parts : RunnerParts
         Shared components of the request runner.
-    placing : Placing
+    placing : Placer
         Chooses a replica without waiting.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placing) -> None:
+    def __init__(self, parts: RunnerParts, placing: Placer) -> None:
         self._parts = parts
         self._placing = placing
-        self._line = LinePlacing(parts, placing)
+        self._line = QueuePlacer(parts, placing)
         self._log: Any = get_logger()
 
     async def place_or_wait(self, request: CallerRequest, tried: set[str]) -> Replica | None:
@@ -47,9 +47,9 @@
         request.last_hold = None
         while True:
             was_whole = parts.directory.is_whole
-            calm_only = may_wait_for_room(request, parts.clock())
+            avoid_resuming = may_wait_for_room(request, parts.clock())
             hold = self._placing.hold(request, tried)
-            replica = await self._try_place(request, tried, calm_only, hold)
+            replica = await self._try_place(request, tried, avoid_resuming, hold)
             if replica is not None:
                 self._log_placed(request, replica)
                 return replica
@@ -70,18 +70,18 @@
             return None
 
     async def _try_place(
-        self, request: CallerRequest, tried: set[str], calm_only: bool, hold: Hold | None
+        self, request: CallerRequest, tried: set[str], avoid_resuming: bool, hold: Hold | None
     ) -> Replica | None:
         """Return a replica that a request may be sent to now, using the queue if it has one."""
-        if hold is None and self._line.serves(request):
+        if hold is None and self._line.uses_queue(request):
             found = await self._line.place(request, tried)
             if isinstance(found, Refuse):
                 request.refusal = found
                 return None
             return found
-        replica = await self._placing.place(request, tried, calm_only)
+        replica = await self._placing.place(request, tried, avoid_resuming)
         if replica is None and hold is not None and hold.reason is HoldReason.LIMIT:
-            return await self._place_with_permit(request, tried, calm_only, hold.remaining_s)
+            return await self._place_with_permit(request, tried, avoid_resuming, hold.remaining_s)
         return replica
 
     async def _wait_for_first_list(self, request: CallerRequest) -> bool:
@@ -94,7 +94,7 @@
         return True
 
     async def _place_with_permit(
-        self, request: CallerRequest, tried: set[str], calm_only: bool, left_s: float
+        self, request: CallerRequest, tried: set[str], avoid_resuming: bool, left_s: float
     ) -> Replica | None:
         """Return the replica whose rate limit gives the earliest permit, after waiting for it.
 
@@ -106,7 +106,7 @@
         patience_s = max_permit_wait_s(request, parts.clock())
         if left_s >= patience_s:
             return None
-        replica = await self._placing.place(request, tried, calm_only, left_s)
+        replica = await self._placing.place(request, tried, avoid_resuming, left_s)
         if replica is None:
             return None
         try:
@@ -133,7 +133,7 @@
             need_tokens=need_tokens(request),
             waited_ms=round((self._parts.clock() - request.arrived_at) * 1000.0),
             priority=request.relay.priority,
-            replicas=self._placing.options.shown(request.service, set()),
+            replicas=self._placing.options.describe(request.service, set()),
         )
 
     def _log_no_room(self, request: CallerRequest, tried: set[str]) -> None:
@@ -142,5 +142,5 @@
             request_id=request.request_id,
             need_tokens=need_tokens(request),
             tried=len(tried),
-            replicas=self._placing.options.shown(request.service, tried),
+            replicas=self._placing.options.describe(request.service, tried),
         )
--- a/reachlink/requests/tests/test_book.py
+++ b/reachlink/requests/tests/test_book.py
@@ -1,17 +1,17 @@
 """What is known of replicas is bounded by those that are there."""
 
-from reachlink.requests import Flight, LoadNote, ReplicaBook, ReplicaShare, SharedLoad
+from reachlink.requests import Allocation, LoadUpdate, PeerLoad, ReplicaTracker, ReplicaUsage
 
 
 def test_replicas_that_are_gone_are_forgotten_unless_they_carry_something():
-    book = ReplicaBook()
-    flight = Flight("id-1", 100)
+    book = ReplicaTracker()
+    flight = Allocation("id-1", 100)
     book.add("r1", flight)
     for name in ("r2", "r3"):
         book.state(name)
     state = book.state("r3")
     book.forget_gone({"r3"})
-    assert book.carrying() == ["r1"]
+    assert book.occupied_replicas() == ["r1"]
     assert book.state("r3") is state
     book.remove("r1", flight)
     old = book.state("r1")
@@ -20,9 +20,9 @@
 
 
 def test_instances_that_are_silent_for_long_are_forgotten():
-    load = SharedLoad()
-    load.take(LoadNote("e1", [ReplicaShare("r1", 1, 100)]), 0.0)
-    load.take(LoadNote("e2", []), 500.0)
+    load = PeerLoad()
+    load.update(LoadUpdate("e1", [ReplicaUsage("r1", 1, 100)]), 0.0)
+    load.update(LoadUpdate("e2", []), 500.0)
     load.forget_silent(700.0)
     assert load.last_heard("e1") == float("-inf")
     assert load.last_heard("e2") == 500.0
