--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -8,7 +8,7 @@
 
 from reachlink.kernel import steady_time
 from reachlink.membership import ListedInstance
-from reachlink.requests import Deciders
+from reachlink.requests import PlacementDeciders
 from reachlink.requests._cold_rates import (
     COORDINATORS_FRACTION,
     UNCOORDINATED_FRACTION,
@@ -27,7 +27,8 @@
 def test_coordinators_split_the_whole_exactly(count, bears, replica):
     names = tuple(f"e{i}" for i in range(count))
     shares = [
-        request_quota(replica, bears, Deciders(n, names, 99), coordinated=True) for n in names
+        request_quota(replica, bears, PlacementDeciders(n, names, 99), coordinated=True)
+        for n in names
     ]
     assert sum(shares) == int(bears * COORDINATORS_FRACTION)
     assert max(shares) - min(shares) <= 1
@@ -40,7 +41,8 @@
     for side, count in enumerate(sides):
         names = tuple(f"s{side}-{i}" for i in range(count))
         total += sum(
-            request_quota("r", bears, Deciders(n, names, count), coordinated=True) for n in names
+            request_quota("r", bears, PlacementDeciders(n, names, count), coordinated=True)
+            for n in names
         )
     assert total <= len(sides) * COORDINATORS_FRACTION * bears
     assert 3 * COORDINATORS_FRACTION + UNCOORDINATED_FRACTION < MOST
@@ -51,7 +53,7 @@
     names = [f"e{i}" for i in range(410)]
     totals = [
         sum(
-            request_quota(f"r{r}", 25.0, Deciders(n, ("c1", "c2"), 410), coordinated=True)
+            request_quota(f"r{r}", 25.0, PlacementDeciders(n, ("c1", "c2"), 410), coordinated=True)
             for n in names
         )
         for r in range(200)
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -6,9 +6,16 @@
 import pytest
 
 from reachlink.kernel import steady_time
-from reachlink.requests import Departures, Flight, LoadNote, ReplicaBook, ReplicaShare, SharedLoad
-from reachlink.requests._departures import INITIAL_REPORT_AGE_S, NOTICE_S, RETENTION_S
-from reachlink.requests._load_notes import RESUME_TOLERANCE_S
+from reachlink.requests import (
+    Allocation,
+    LoadUpdate,
+    PeerLoad,
+    ReplicaTracker,
+    ReplicaUsage,
+    ShutdownTimes,
+)
+from reachlink.requests._load_updates import RESUME_TOLERANCE_S
+from reachlink.requests._shutdown_times import INITIAL_REPORT_AGE_S, RETENTION_S, SHUTDOWN_NOTICE_S
 from reachlink.requests.tests.world import answering, stream, world_with_script
 from reachlink.routing import RequestKind
 from reachlink.scheduling import ReplicaOption, choose_replica, prefill_ends_before_resume
@@ -16,50 +23,50 @@
 
 @pytest.mark.parametrize("notice_s", [0.5, 1.2, 2.5])
 def test_the_usual_notice_is_learned(notice_s):
-    departures = Departures()
+    departures = ShutdownTimes()
     for number in range(20):
         name = f"r{number}"
-        departures.notice(name, 100.0 * number)
-        departures.gone(name, 100.0 * number + notice_s)
-    departures.notice("next", 9000.0)
-    learned = departures.expected("next") - 9000.0
-    plausible = abs(notice_s - NOTICE_S) <= 1.0
-    assert abs(learned - (notice_s if plausible else NOTICE_S)) < 0.05
+        departures.note_leaving(name, 100.0 * number)
+        departures.note_gone(name, 100.0 * number + notice_s)
+    departures.note_leaving("next", 9000.0)
+    learned = departures.expected_at("next") - 9000.0
+    plausible = abs(notice_s - SHUTDOWN_NOTICE_S) <= 1.0
+    assert abs(learned - (notice_s if plausible else SHUTDOWN_NOTICE_S)) < 0.05
 
 
 def test_a_report_goes_before_the_usual_notice():
-    departures = Departures()
-    departures.notice("r1", 10.0)
-    departures.report("r1", 10.6, leaves_in_s=4.0)
-    assert departures.expected("r1") == 14.6 - INITIAL_REPORT_AGE_S
-    assert departures.told("r1")
+    departures = ShutdownTimes()
+    departures.note_leaving("r1", 10.0)
+    departures.note_reported_time("r1", 10.6, leaves_in_s=4.0)
+    assert departures.expected_at("r1") == 14.6 - INITIAL_REPORT_AGE_S
+    assert departures.has_reported_time("r1")
 
 
 def test_the_age_of_reports_is_learned():
-    departures = Departures()
+    departures = ShutdownTimes()
     for number in range(20):
         name, at = f"r{number}", 100.0 * number
-        departures.report(name, at, leaves_in_s=2.0)
-        departures.gone(name, at + 1.3)
-    departures.report("next", 9000.0, leaves_in_s=3.0)
-    assert abs(departures.expected("next") - 9002.3) < 0.01
+        departures.note_reported_time(name, at, leaves_in_s=2.0)
+        departures.note_gone(name, at + 1.3)
+    departures.note_reported_time("next", 9000.0, leaves_in_s=3.0)
+    assert abs(departures.expected_at("next") - 9002.3) < 0.01
 
 
 def test_what_breaks_at_another_time_teaches_nothing():
-    departures = Departures()
-    departures.notice("r1", 10.0)
-    departures.gone("r1", 18.0)
-    departures.gone("r9", 18.0)
-    departures.notice("r2", 20.0)
-    assert departures.expected("r2") == 20.0 + NOTICE_S
-    assert departures.expected("r9") is None
+    departures = ShutdownTimes()
+    departures.note_leaving("r1", 10.0)
+    departures.note_gone("r1", 18.0)
+    departures.note_gone("r9", 18.0)
+    departures.note_leaving("r2", 20.0)
+    assert departures.expected_at("r2") == 20.0 + SHUTDOWN_NOTICE_S
+    assert departures.expected_at("r9") is None
 
 
 def test_old_departures_are_forgotten():
-    departures = Departures()
-    departures.notice("r1", 10.0)
-    departures.notice("r2", 10.0 + RETENTION_S)
-    assert departures.expected("r1") is None
+    departures = ShutdownTimes()
+    departures.note_leaving("r1", 10.0)
+    departures.note_leaving("r2", 10.0 + RETENTION_S)
+    assert departures.expected_at("r1") is None
 
 
 def test_a_prompt_is_not_read_while_a_generation_joins():
@@ -74,17 +81,17 @@
 
 
 def test_the_others_are_told_when_a_generation_joins():
-    book = ReplicaBook()
-    book.add("r1", Flight("g1", 3000, copy=True, joins_at=12.0))
-    book.add("r1", Flight("g2", 3000, copy=True, joins_at=9.0))
-    (share,) = book.shares(10.0)
-    assert share.joins_in_s == 2.0
-    shared = SharedLoad()
-    shared.take(LoadNote("e1", [share]), 10.1)
-    shared.take(LoadNote("e2", [ReplicaShare("r1", 1, 3000, joins_in_s=1.0)]), 10.1)
-    assert shared.at("r1", 10.6).joins_in_s == pytest.approx(0.5)
-    assert shared.at("r1", 11.6).joins_in_s == pytest.approx(0.5)
-    assert shared.at("r1", 12.9).joins_in_s is None
+    book = ReplicaTracker()
+    book.add("r1", Allocation("g1", 3000, is_copy=True, resumes_at=12.0))
+    book.add("r1", Allocation("g2", 3000, is_copy=True, resumes_at=9.0))
+    (share,) = book.usages(10.0)
+    assert share.resumes_in_s == 2.0
+    shared = PeerLoad()
+    shared.update(LoadUpdate("e1", [share]), 10.1)
+    shared.update(LoadUpdate("e2", [ReplicaUsage("r1", 1, 3000, resumes_in_s=1.0)]), 10.1)
+    assert shared.usage_at("r1", 10.6).resumes_in_s == pytest.approx(0.5)
+    assert shared.usage_at("r1", 11.6).resumes_in_s == pytest.approx(0.5)
+    assert shared.usage_at("r1", 12.9).resumes_in_s is None
 
 
 def test_a_prompt_waits_until_the_joint_is_over_but_is_not_refused_for_it():
@@ -92,7 +99,7 @@
         world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         loop = asyncio.get_running_loop()
         began = loop.time()
-        world.book.add("m1", Flight("g1", 3000, copy=True, joins_at=began + 0.05))
+        world.book.add("m1", Allocation("g1", 3000, is_copy=True, resumes_at=began + 0.05))
         sink = await world.run(RequestKind.STREAM, output_tokens=10)
         return loop.time() - began, sink.body
 
@@ -105,8 +112,12 @@
     async def play() -> bytes:
         world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         now = steady_time()
-        world.runner._parts.book.add("m1", Flight("g1", 3000, copy=True, joins_at=now + 0.3))
-        world.runner._parts.book.add("m1", Flight("g2", 3000, copy=True, joins_at=now + 0.6))
+        world.runner._parts.book.add(
+            "m1", Allocation("g1", 3000, is_copy=True, resumes_at=now + 0.3)
+        )
+        world.runner._parts.book.add(
+            "m1", Allocation("g2", 3000, is_copy=True, resumes_at=now + 0.6)
+        )
         return (await world.run(RequestKind.STREAM, output_tokens=10)).body
 
     assert asyncio.run(play()) == stream(1, 2)
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from reachlink.requests import LoadNote, ReplicaShare, StreamCutError
+from reachlink.requests import LoadUpdate, ReplicaUsage, StreamCutError
 from reachlink.requests.tests.world import BROKEN, World, answering, stream, world_with_script
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
@@ -28,7 +28,7 @@
 @pytest.fixture(autouse=True)
 def virtual_time(monkeypatch):
     monkeypatch.setattr("reachlink.requests.tests.world.steady_time", loop_time)
-    monkeypatch.setattr("reachlink.requests._generation_places.BEGIN_SHARE", 1.0)
+    monkeypatch.setattr("reachlink.requests._generation_replicas.COPY_START_PROBABILITY", 1.0)
 
 
 def fleet(breaks_after_s: float) -> World:
@@ -58,8 +58,8 @@
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         home, target = await first_order(made)
-        crowd = ReplicaShare(target, 9, 36_000, 0, 36_000)
-        made.shared.take(LoadNote("e2", [crowd]), loop_time())
+        crowd = ReplicaUsage(target, 9, 36_000, 0, 36_000)
+        made.shared.update(LoadUpdate("e2", [crowd]), loop_time())
         await asyncio.sleep(0.06)
         made.list_replicas(home)
         return home, target, await running
@@ -76,8 +76,8 @@
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         _, target = await first_order(made)
         for _ in range(10):
-            crowd = ReplicaShare(target, 9, 36_000, 0, 36_000)
-            made.shared.take(LoadNote("e2", [crowd]), loop_time())
+            crowd = ReplicaUsage(target, 9, 36_000, 0, 36_000)
+            made.shared.update(LoadUpdate("e2", [crowd]), loop_time())
             await asyncio.sleep(0.1)
         running.cancel()
         await asyncio.wait({running})
@@ -93,7 +93,7 @@
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         home, target = await first_order(made)
         for name in (home, target):
-            made.departures.report(name, loop_time(), leaves_in_s=2.5)
+            made.departures.note_reported_time(name, loop_time(), leaves_in_s=2.5)
         made.list_replicas(home, target)
         await asyncio.sleep(1.0)
         running.cancel()
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reachlink.membership import LeavingSource
-from reachlink.requests import LoadNote, MemoryNote, ReplicaShare, StreamCutError
+from reachlink.requests import AllocationSummary, LoadUpdate, ReplicaUsage, StreamCutError
 from reachlink.requests.tests.world import (
     BACKUP_ENGINE,
     BROKEN,
@@ -137,7 +137,7 @@
         primary, target, _ = setup.adapter.moves[0]
         now = loop_time()
         for name in (primary, target):
-            setup.departures.report(name, now, leaves_in_s=2.0)
+            setup.departures.note_reported_time(name, now, leaves_in_s=2.0)
         setup.list_replicas(primary, target)
         await wait_until(lambda: {t for _, t, _ in setup.adapter.moves} - {target})
         running.cancel()
@@ -186,8 +186,8 @@
         running = asyncio.create_task(setup.run(RequestKind.STREAM))
         await wait_until(lambda: setup.adapter.moves)
         _, target, _ = setup.adapter.moves[0]
-        others = ReplicaShare(target, 9, 36_000, 0, 36_000)
-        setup.shared.take(LoadNote("e2", [others]), loop_time())
+        others = ReplicaUsage(target, 9, 36_000, 0, 36_000)
+        setup.shared.update(LoadUpdate("e2", [others]), loop_time())
         await wait_until(lambda: setup.adapter.released)
         running.cancel()
         await asyncio.wait({running})
@@ -198,7 +198,7 @@
 
 def test_a_copy_discarded_during_its_transfer_is_freed(monkeypatch):
     """Cancelling a transfer left its memory allocated at the target."""
-    monkeypatch.setattr("reachlink.requests._generation_places.BEGIN_SHARE", 1.0)
+    monkeypatch.setattr("reachlink.requests._generation_replicas.COPY_START_PROBABILITY", 1.0)
     setup = virtual_time_world("a a", "m", script=answering(200, stream(1, 3), 0.15))
     setup.adapter.move_result, setup.adapter.move_takes_s = MOVED, 0.3
 
@@ -212,7 +212,7 @@
 
 
 def test_no_standing_copy_is_started_while_a_leaving_replica_has_generations_to_copy(monkeypatch):
-    monkeypatch.setattr("reachlink.requests._generation_places.BEGIN_SHARE", 1.0)
+    monkeypatch.setattr("reachlink.requests._generation_replicas.COPY_START_PROBABILITY", 1.0)
     setup = virtual_time_world("a a a", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
     setup.adapter.move_result = MOVED
 
@@ -222,9 +222,9 @@
         primary = setup.adapter.sent[0].replica
         other = next(name for name in setup.zones if name != primary)
         now = loop_time()
-        waiting = ReplicaShare(other, 1, 4000, uncovered=(MemoryNote(9, 4000, 50),))
+        waiting = ReplicaUsage(other, 1, 4000, unreplicated=(AllocationSummary(9, 4000, 50),))
         setup.directory.mark_leaving(other, LeavingSource.CLOSING, now)
-        setup.shared.take(LoadNote("e2", [waiting]), now)
+        setup.shared.update(LoadUpdate("e2", [waiting]), now)
         await running
 
     run_virtually(scenario())
@@ -237,8 +237,8 @@
 
     async def scenario():
         now = loop_time()
-        shares = [ReplicaShare(name, 0, 0, arriving=1) for name in setup.zones]
-        setup.shared.take(LoadNote("e2", shares), now)
+        shares = [ReplicaUsage(name, 0, 0, pending_transfers=1) for name in setup.zones]
+        setup.shared.update(LoadUpdate("e2", shares), now)
         await setup.run(RequestKind.STREAM)
 
     run_virtually(scenario())
--- a/reachlink/requests/tests/test_paces.py
+++ b/reachlink/requests/tests/test_paces.py
@@ -64,7 +64,7 @@
 
 
 def options(made: World) -> dict[str, Pace | None]:
-    found = made.runner.placing.options.of(PLAIN, set())
+    found = made.runner.placing.options.for_service(PLAIN, set())
     return {option.name: option.pace for option in found}
 
 
@@ -97,7 +97,7 @@
     made = world_with_script("a", script=telling(1.2))
     play(made, RequestKind.REPEATABLE)
     assert paces(made, "plain", "p1") == [1.2]
-    made.book.start_again("p1")
+    made.book.reset_replica("p1")
     assert paces(made, "plain", "p1") == [1.0]
 
 
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from reachlink.membership import LeavingSource
-from reachlink.requests import Flight, RequestFailedError, RetryLimits
+from reachlink.requests import Allocation, RequestFailedError, RetryLimits
 from reachlink.requests.tests.world import (
     OK,
     FakeAnswer,
@@ -110,7 +110,7 @@
     setup.parts.retry_limits = RetryLimits(0.0, 0.0)
     # More load at the last replica, so that it is tried last.
     for _ in range(5):
-        setup.book.add(last, Flight("other", 10, 0))
+        setup.book.add(last, Allocation("other", 10, 0))
     asyncio.run(setup.run(kind, max_attempts=1))
     assert sent_to(setup)[-1] == last
     assert set(sent_to(setup)) == set(setup.zones)
--- a/reachlink/requests/tests/test_shared_load.py
+++ b/reachlink/requests/tests/test_shared_load.py
@@ -3,13 +3,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from reachlink.requests import LoadNote, ReplicaShare, SharedLoad
+from reachlink.requests import LoadUpdate, PeerLoad, ReplicaUsage
 
 KEPT_S = 3.0
 INSTANCES = st.sampled_from(["e1", "e2", "e3"])
 SHARES = st.lists(
     st.builds(
-        ReplicaShare,
+        ReplicaUsage,
         replica=st.sampled_from(["r1", "r2"]),
         running=st.integers(0, 3),
         tokens=st.integers(0, 9_000),
@@ -28,12 +28,12 @@
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(STEPS, max_size=20))
 def test_the_sum_is_that_of_what_each_told_last_and_not_too_long_ago(steps):
-    load, now = SharedLoad(), 0.0
+    load, now = PeerLoad(), 0.0
     told: dict[str, tuple[float, dict[str, int]]] = {}
     for step in steps:
         match step:
             case ("take", name, shares):
-                load.take(LoadNote(name, shares), now)
+                load.update(LoadUpdate(name, shares), now)
                 told[name] = (now, {s.replica: s.tokens for s in shares})
             case ("add", name, shares):
                 for share in shares:
@@ -51,4 +51,4 @@
                 expected = sum(
                     tokens.get(replica, 0) for n, (_, tokens) in told.items() if n != without
                 )
-                assert load.at(replica, now, without).tokens == expected
+                assert load.usage_at(replica, now, without).tokens == expected
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -11,11 +11,11 @@
 from reachlink.quarantine import Quarantine
 from reachlink.requests import (
     CallerRequest,
-    Departures,
-    ReplicaBook,
+    PeerLoad,
+    ReplicaTracker,
     RequestRunner,
     RunnerParts,
-    SharedLoad,
+    ShutdownTimes,
 )
 from reachlink.routing import Backend, EngineLimits, RequestKind, Route, Service
 from reachlink.upstreams import (
@@ -221,9 +221,9 @@
     def __post_init__(self) -> None:
         self.directory = ReplicaDirectory()
         self.list_replicas()
-        self.book = ReplicaBook()
-        self.shared = SharedLoad()
-        self.departures = Departures()
+        self.book = ReplicaTracker()
+        self.shared = PeerLoad()
+        self.departures = ShutdownTimes()
         self.quarantine = Quarantine(Random(1))
         self.pacing = PacingTracker(Random(1))
         self.backoffs = self.pacing.backoffs
