--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -121,7 +121,7 @@
     def oldest_wait_s(self) -> dict[str, float]:
         """Time in seconds since the oldest queued request joined, by service."""
         now = self._clock()
-        return {name: queue.requests.oldest_s(now) for name, queue in self._queues.items()}
+        return {name: queue.requests.oldest_wait_s(now) for name, queue in self._queues.items()}
 
     def wake(self) -> None:
         """Scan for room soon, as a request has ended or a replica was added."""
--- a/reachlink/scheduling/_request_queue.py
+++ b/reachlink/scheduling/_request_queue.py
@@ -172,7 +172,7 @@
         """Return a request in the queue, or None."""
         return self._waiting.get(request_id)
 
-    def oldest_s(self, now: float) -> float:
+    def oldest_wait_s(self, now: float) -> float:
         """Return how long the oldest request has been in this queue, in seconds."""
         return max((now - w.joined_at for w in self._waiting.values()), default=0.0)
 
