--- a/benchmarks/bench_coordination.py
+++ b/benchmarks/bench_coordination.py
@@ -63,7 +63,7 @@
     notes = [f.member._make_update("c1", 0.01) for f in followers]
     sizes = [len(encode(note)) for note in notes]
     notes = [msgspec.structs.replace(note, full=True) for note in notes]
-    some = [msgspec.structs.replace(note, whole=False) for note in notes]
+    some = [msgspec.structs.replace(note, full=False) for note in notes]
     pictures: list[int] = []
     began = time.process_time()
     for number in range(ROUNDS):
