--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -172,7 +172,7 @@
                 on_gone=self.reports.tell_gone,
                 cut_off=self._reach.cut_off,
                 silent_zones=self._reach.silent_zones,
-                departures=departures,
+                shutdown_times=departures,
                 ask_coordinator=self.member.ask,
                 deciders=self.deciders,
                 quarantine=self.quarantine,
@@ -188,7 +188,7 @@
             self.book,
             self.shared,
             self.directory,
-            self._runner.placing,
+            self._runner.placer,
             self._engine_services,
             self.reports.take,
             self.crash_news,
@@ -209,7 +209,7 @@
             return None
         return QueueOwner(
             self.config.name,
-            self._runner.placing,
+            self._runner.placer,
             self.book,
             self.shared,
             self.directory,
--- a/reachlink/requests/_allocations.py
+++ b/reachlink/requests/_allocations.py
@@ -74,7 +74,7 @@
 
     def expect_resume(self, flight: Allocation, home: Replica) -> None:
         """Record when a generation will resume from its copy because its primary leaves."""
-        departures = self._parts.departures
+        departures = self._parts.shutdown_times
         departures.note_leaving(home.name, self._parts.clock())
         at = departures.expected_at(home.name)
         if at is not None and (
@@ -85,9 +85,9 @@
 
     def shutdown_in_s(self, replica: Replica) -> float | None:
         """Return the time until a leaving replica is shut down, in seconds; None if unknown."""
-        at = self._parts.departures.expected_at(replica.name)
+        at = self._parts.shutdown_times.expected_at(replica.name)
         return None if at is None else at - self._parts.clock()
 
     def note_gone(self, replica: Replica) -> None:
         """Record that a replica is gone, from which the estimates of shutdowns are updated."""
-        self._parts.departures.note_gone(replica.name, self._parts.clock())
+        self._parts.shutdown_times.note_gone(replica.name, self._parts.clock())
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -23,7 +23,7 @@
 
     def __init__(self, dispatch: RequestDispatcher, request: CallerRequest) -> None:
         self._dispatch = dispatch
-        self._placing = dispatch.placing
+        self._placing = dispatch.placer
         self._request = request
         # Monotonic time in seconds until which each replica is avoided.
         self._avoided_until: dict[str, float] = {}
--- a/reachlink/requests/_generation_replicas.py
+++ b/reachlink/requests/_generation_replicas.py
@@ -74,7 +74,7 @@
         self, dispatch: RequestDispatcher, request: CallerRequest, joint: EventMerger
     ) -> None:
         self._dispatch = dispatch
-        self._placing = dispatch.placing
+        self._placing = dispatch.placer
         self._request = request
         self._joint = joint
         self._primary: _ReplicaAllocation | None = None
@@ -131,7 +131,7 @@
     def note_prompt_read(self) -> None:
         """Record that the primary has processed the prompt."""
         assert self._primary is not None
-        self._dispatch.flights.mark_prompt_read(self._primary.allocation)
+        self._dispatch.allocations.mark_prompt_read(self._primary.allocation)
 
     def note_progress(self) -> None:
         """Record the memory that the generation takes now and is expected to take at its end.
@@ -230,8 +230,10 @@
             return False
         target_stays = self._placing.stays(self._shadow.target)
         if leaving:
-            self._dispatch.flights.mark_not_evictable(self._shadow_allocation.allocation)
-            self._dispatch.flights.expect_resume(self._shadow_allocation.allocation, self.primary)
+            self._dispatch.allocations.mark_not_evictable(self._shadow_allocation.allocation)
+            self._dispatch.allocations.expect_resume(
+                self._shadow_allocation.allocation, self.primary
+            )
             self._shadow.refresh_faster()
             if self._leaves_with_primary(self._shadow.target):
                 return False
@@ -255,8 +257,8 @@
         """
         if self._placing.stays(target):
             return False
-        home_left = self._dispatch.flights.shutdown_in_s(self.primary)
-        target_left = self._dispatch.flights.shutdown_in_s(target)
+        home_left = self._dispatch.allocations.shutdown_in_s(self.primary)
+        target_left = self._dispatch.allocations.shutdown_in_s(target)
         if home_left is None or target_left is None or home_left < MIN_SHUTDOWN_GAP_S:
             return False
         return target_left < home_left + MIN_SHUTDOWN_GAP_S
@@ -395,10 +397,10 @@
     def _allocate(
         self, replica: Replica, reads: bool = False, copy: bool = False
     ) -> _ReplicaAllocation:
-        flight = self._dispatch.flights.add(self._request, replica, reads, copy)
+        flight = self._dispatch.allocations.add(self._request, replica, reads, copy)
         flight.used_tokens = self._progress().used_tokens
         return _ReplicaAllocation(replica, flight, self._placing.born(replica))
 
     def _free(self, place: _ReplicaAllocation | None) -> None:
         if place is not None:
-            self._dispatch.flights.remove(place.replica, place.allocation)
+            self._dispatch.allocations.remove(place.replica, place.allocation)
--- a/reachlink/requests/_outcome_recorder.py
+++ b/reachlink/requests/_outcome_recorder.py
@@ -20,15 +20,15 @@
     ----------
     parts : RunnerParts
         Dependencies.
-    placing : Placer
+    placer : Placer
         Avoids zones that could not be reached.
     guard : CrashGuard
         Finds out which requests crash replicas.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placer, guard: CrashGuard) -> None:
+    def __init__(self, parts: RunnerParts, placer: Placer, guard: CrashGuard) -> None:
         self._parts = parts
-        self._placing = placing
+        self._placer = placer
         self._guard = guard
         self._log: Any = get_logger()
 
@@ -49,7 +49,7 @@
     def record_unreachable(self, replica: Replica) -> None:
         """Record that no connection to a replica could be made."""
         self.record_no_answer(replica)
-        self._placing.reachable.note_unreachable(replica)
+        self._placer.reachable.note_unreachable(replica)
 
     def record_broken(
         self, request: CallerRequest, replica: Replica, sent_at: float, begun: bool
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -104,7 +104,7 @@
         Random number generator, for example for breaking ties.
     silent_zones : callable
         Returns the zones that this instance cannot reach, as far as it can tell.
-    departures : ShutdownTimes
+    shutdown_times : ShutdownTimes
         Expected shutdown times of leaving replicas.
     clock : callable
         Monotonic time in seconds.
@@ -150,7 +150,7 @@
     on_gone: Callable[[str], None] = lambda name: None
     cut_off: Callable[[], bool] = lambda: False
     silent_zones: Callable[[], Set[str]] = frozenset
-    departures: ShutdownTimes = field(default_factory=ShutdownTimes)
+    shutdown_times: ShutdownTimes = field(default_factory=ShutdownTimes)
     clock: Callable[[], float] = steady_time
     ask_coordinator: AskCoordinator = decide_here
     deciders: Callable[[], PlacementDeciders] = lambda: PlacementDeciders("", ("",))
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -40,25 +40,25 @@
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
-        self._placing = Placer(parts)
-        self._timely = WaitingPlacer(parts, self._placing)
+        self._placer = Placer(parts)
+        self._timely = WaitingPlacer(parts, self._placer)
         self._guard = CrashGuard(parts.quarantine, self._touch, parts.clock)
-        self._flights = Allocations(parts)
+        self._allocations = Allocations(parts)
         self._copy_order = CopyOrder(parts)
         self._pace = ReplicaPace(parts)
-        self._retry_policy = RetryPolicy(parts, self._placing)
-        self._outcome_recorder = OutcomeRecorder(parts, self._placing, self._guard)
+        self._retry_policy = RetryPolicy(parts, self._placer)
+        self._outcome_recorder = OutcomeRecorder(parts, self._placer, self._guard)
         self._log: Any = get_logger()
 
     @property
-    def placing(self) -> Placer:
+    def placer(self) -> Placer:
         """Component that chooses replicas."""
-        return self._placing
+        return self._placer
 
     @property
-    def flights(self) -> Allocations:
+    def allocations(self) -> Allocations:
         """Requests and copies of this instance at the replicas."""
-        return self._flights
+        return self._allocations
 
     @property
     def copy_order(self) -> CopyOrder:
@@ -126,7 +126,7 @@
         if not self._parts.scheduling.held_bytes:
             return frozenset()
         size = len(request.relay.body)
-        while full := self._flights.full_replicas(size):
+        while full := self._allocations.full_replicas(size):
             live = {one.name for one in self._parts.directory.live(request.service.name)}
             if live - tried - full:
                 break
@@ -150,7 +150,7 @@
             request.service
         ):
             return set()
-        return self._placing.refusing_replicas(request, tried)
+        return self._placer.refusing_replicas(request, tried)
 
     async def wait_for_permit(self, request: CallerRequest, replica: Replica) -> bool:
         """Wait for a permit to resume a stream at a replica; return whether there is one."""
--- a/reachlink/requests/_retry_policy.py
+++ b/reachlink/requests/_retry_policy.py
@@ -28,13 +28,13 @@
     ----------
     parts : RunnerParts
         Dependencies.
-    placing : Placer
+    placer : Placer
         Tells why a request finds no replica.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placer) -> None:
+    def __init__(self, parts: RunnerParts, placer: Placer) -> None:
         self._parts = parts
-        self._placing = placing
+        self._placer = placer
         self._budgets: dict[str, RetryBudget] = {}
         self._log: Any = get_logger()
 
@@ -82,12 +82,12 @@
             return RequestFailedError(502, attempts.reason, Outcome.UNKNOWN)
         if request.refusal is not None:
             return self._refusal(request, request.refusal)
-        obstacle = self._placing.reachable.obstacle(request)
+        obstacle = self._placer.reachable.obstacle(request)
         if obstacle is not None:
             wait = obstacle.retry_after_s
             return RequestFailedError(503, obstacle.value, Outcome.NOT_RUN, wait)
         # Includes the replicas that were tried, since a retry of the caller may go to them.
-        hold = self._placing.hold(request, frozenset())
+        hold = self._placer.hold(request, frozenset())
         # A replica may have become available since the last placement; the reason for which the
         # request was held back then is still the one to report.
         hold = hold or request.last_hold
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -32,13 +32,13 @@
         self._running: dict[asyncio.Timeout, CallerRequest] = {}
 
     @property
-    def placing(self) -> Placer:
+    def placer(self) -> Placer:
         """Component that chooses replicas."""
-        return self._dispatch.placing
+        return self._dispatch.placer
 
     def is_service_unreachable(self, service: str) -> bool:
         """Return whether this zone is cut off and has no replica of a service."""
-        return self._dispatch.placing.reachable.none_reachable(service)
+        return self._dispatch.placer.reachable.none_reachable(service)
 
     def on_replica_restarted(self, replica: str) -> None:
         """Handle that a replica has restarted under the same name."""
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -299,7 +299,7 @@
             replica=self._places.primary.name,
             event_number=self._merger.last_event_number,
             pause_ms=round(pause_s * 1000.0),
-            replicas=self._dispatch.placing.options.describe(self._request.service, set()),
+            replicas=self._dispatch.placer.options.describe(self._request.service, set()),
         )
 
     def _log_delivered(self) -> None:
@@ -323,8 +323,8 @@
 
     def _on_broken(self, reason: str) -> None:
         replica = self._places.primary
-        if not self._dispatch.placing.stays(replica):
-            self._dispatch.flights.note_gone(replica)
+        if not self._dispatch.placer.stays(replica):
+            self._dispatch.allocations.note_gone(replica)
         self._note_broken(replica)
         self._dispatch.log.warning(
             "stream_broken",
--- a/reachlink/requests/_whole_answers.py
+++ b/reachlink/requests/_whole_answers.py
@@ -41,12 +41,12 @@
         fallback: tuple[AnswerHead, bytes] | None = None
         while (replica := await self._dispatch.place_or_wait(request, tried)) is not None:
             tried.add(replica.name)
-            flight = self._dispatch.flights.add(request, replica)
+            allocation = self._dispatch.allocations.add(request, replica)
             try:
                 previous_bytes = len(fallback[1]) if fallback is not None else 0
                 result = await self._attempt(request, replica, attempts, previous_bytes)
             finally:
-                self._dispatch.flights.remove(replica, flight)
+                self._dispatch.allocations.remove(replica, allocation)
             if isinstance(result, tuple):
                 # Passed on to the caller if no other replica gives a better answer.
                 fallback = result
--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -96,7 +96,7 @@
         requests = [made.request(RequestKind.REPEATABLE) for _ in range(60)]
         for request in requests:
             request.service = service
-        placing = made.runner.placing
+        placing = made.runner.placer
         return [await placing.place(request, set()) for request in requests]
 
     found = Counter(replica.name for replica in asyncio.run(scenario()) if replica)
@@ -119,7 +119,7 @@
         requests = [made.request(RequestKind.REPEATABLE) for _ in range(20)]
         for request in requests:
             request.service = service
-        return [await made.runner.placing.place(r, set()) for r in requests]
+        return [await made.runner.placer.place(r, set()) for r in requests]
 
     found = [replica for replica in asyncio.run(scenario()) if replica]
     assert Counter(r.name for r in found) == {"p1": 2, "p2": 2}
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -93,7 +93,7 @@
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         home, target = await first_order(made)
         for name in (home, target):
-            made.departures.note_reported_time(name, loop_time(), leaves_in_s=2.5)
+            made.shutdown_times.note_reported_time(name, loop_time(), leaves_in_s=2.5)
         made.list_replicas(home, target)
         await asyncio.sleep(1.0)
         running.cancel()
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -137,7 +137,7 @@
         primary, target, _ = setup.adapter.moves[0]
         now = loop_time()
         for name in (primary, target):
-            setup.departures.note_reported_time(name, now, leaves_in_s=2.0)
+            setup.shutdown_times.note_reported_time(name, now, leaves_in_s=2.0)
         setup.list_replicas(primary, target)
         await wait_until(lambda: {t for _, t, _ in setup.adapter.moves} - {target})
         running.cancel()
--- a/reachlink/requests/tests/test_paces.py
+++ b/reachlink/requests/tests/test_paces.py
@@ -64,7 +64,7 @@
 
 
 def options(made: World) -> dict[str, Pace | None]:
-    found = made.runner.placing.options.for_service(PLAIN, set())
+    found = made.runner.placer.options.for_service(PLAIN, set())
     return {option.name: option.pace for option in found}
 
 
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -123,7 +123,7 @@
     setup = world_with_script("a", script=OK)
     (only,) = setup.zones
     limit(setup, 60.0, only)
-    placing = setup.runner.placing
+    placing = setup.runner.placer
     answers = [placing.hold]
 
     def hold_until_final_answer(request, tried):
--- a/reachlink/requests/tests/test_refused.py
+++ b/reachlink/requests/tests/test_refused.py
@@ -45,4 +45,4 @@
     setup = world_with_script(script=OK)
     request = setup.request(RequestKind.ONCE)
     request.relay.fingerprint = 77
-    assert setup.runner.placing.query(request, set()).fingerprint == 77
+    assert setup.runner.placer.query(request, set()).fingerprint == 77
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -223,7 +223,7 @@
         self.list_replicas()
         self.book = ReplicaTracker()
         self.shared = PeerLoad()
-        self.departures = ShutdownTimes()
+        self.shutdown_times = ShutdownTimes()
         self.quarantine = Quarantine(Random(1))
         self.pacing = PacingTracker(Random(1))
         self.backoffs = self.pacing.backoffs
@@ -235,7 +235,7 @@
             self.shared,
             Random(1),
             lambda request, code, duration: self.outcomes.append(code),
-            departures=self.departures,
+            shutdown_times=self.shutdown_times,
             quarantine=self.quarantine,
             pacing=self.pacing,
         )
