--- a/reachlink/limits/_buffer_budget.py
+++ b/reachlink/limits/_buffer_budget.py
@@ -39,7 +39,7 @@
     Parameters
     ----------
     limit : int
-        Bytes that may be buffered at the most; 0 for no limit, in which case nothing is counted.
+        Maximum number of buffered bytes; 0 for no limit, in which case nothing is counted.
     """
 
     def __init__(self, limit: int = 0) -> None:
@@ -60,7 +60,7 @@
 
     @property
     def limit(self) -> int:
-        """Bytes that may be buffered at the most; 0 for no limit."""
+        """Maximum number of buffered bytes; 0 for no limit."""
         return self._limit
 
     @property
@@ -80,12 +80,12 @@
 
     @property
     def caller_bytes(self) -> int:
-        """Bytes that may be buffered for one caller at the most."""
+        """Maximum number of bytes buffered for one caller."""
         return int(self._limit * CALLER_SHARE)
 
     @property
     def answer_buffer_bytes(self) -> int:
-        """Bytes that one incoming answer may occupy ahead of its caller at the most."""
+        """Maximum number of bytes that one incoming answer may be ahead of its caller."""
         return int(self._limit * ANSWER_BUFFER_SHARE)
 
     def bytes_of(self, kind: BufferKind) -> int:
--- a/reachlink/pacing/_rate_limiter.py
+++ b/reachlink/pacing/_rate_limiter.py
@@ -10,8 +10,8 @@
 
 from dataclasses import dataclass
 
-# Unused permits that accumulate at the most, in addition to the next one. A limit is stated per
-# second, so two requests at once do not overload the replica, and the slack tolerates requests
+# Maximum number of unused permits that accumulate, in addition to the next one. A limit is stated
+# per second, so two requests at once do not overload the replica, and the slack tolerates requests
 # that arrive slightly early.
 MAX_UNUSED_PERMITS = 1.0
 
--- a/reachlink/pacing/tests/test_pacing_tracker.py
+++ b/reachlink/pacing/tests/test_pacing_tracker.py
@@ -81,7 +81,7 @@
     block(tracker, A, 20.0)
     assert not tracker.admits(A, MAX_PERMIT_POLL_S / 2)
     assert tracker.admits(A, MAX_PERMIT_POLL_S)
-    # Callers are told the wait that was announced last.
+    # Callers get the wait that was announced last.
     assert tracker.hold([A], MAX_PERMIT_POLL_S).remaining_s == 20.0 - MAX_PERMIT_POLL_S
 
 
