--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -41,7 +41,7 @@
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
         self._placer = Placer(parts)
-        self._timely = WaitingPlacer(parts, self._placer)
+        self._waiting_placer = WaitingPlacer(parts, self._placer)
         self._guard = CrashGuard(parts.quarantine, self._touch, parts.clock)
         self._allocations = Allocations(parts)
         self._copy_order = CopyOrder(parts)
@@ -111,10 +111,10 @@
         excluded = tried | full
         refusing = self._likely_to_refuse(request, excluded)
         if refusing:
-            replica = await self._timely.place_or_wait(request, excluded | refusing)
+            replica = await self._waiting_placer.place_or_wait(request, excluded | refusing)
             if replica is not None:
                 return replica
-        return await self._timely.place_or_wait(request, excluded)
+        return await self._waiting_placer.place_or_wait(request, excluded)
 
     async def _full_replicas(
         self, request: CallerRequest, tried: set[str]
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -75,7 +75,7 @@
         self._request = request
         self._sink = sink
         self._merger = EventMerger()
-        self._places = GenerationReplicas(dispatch, request, self._merger)
+        self._replicas = GenerationReplicas(dispatch, request, self._merger)
         self._times = StreamTimes(request.arrived_at)
         self._interval_meter = EventIntervalMeter()
         # Whether the primary had unread prompts when the last event interval was measured.
@@ -92,10 +92,10 @@
 
     async def start(self, replica: Replica) -> AttemptFailure | None:
         """Run the stream to its end; return why it did not start at the replica, if so."""
-        watch = asyncio.create_task(self._places.maintain_copies())
+        copy_task = asyncio.create_task(self._replicas.maintain_copies())
         fingerprint = self._request.relay.fingerprint
         try:
-            await self._places.begin(replica)
+            await self._replicas.begin(replica)
             async with self._dispatch.guard.watched(fingerprint, self._has_given_no_event):
                 return await self._run()
         except HeldRequestError as error:
@@ -103,8 +103,8 @@
                 raise StreamCutError(HELD) from error
             raise
         finally:
-            watch.cancel()
-            self._places.release()
+            copy_task.cancel()
+            self._replicas.release()
 
     def _has_given_no_event(self) -> bool:
         """Return whether the caller has got no event yet."""
@@ -112,7 +112,7 @@
 
     async def _run(self) -> AttemptFailure | None:
         try:
-            answer = await self._open(self._places.primary, None)
+            answer = await self._open(self._replicas.primary, None)
         except UpstreamHeldBackError as error:
             return pacing_failure(error)
         except UpstreamUnreachableError:
@@ -122,7 +122,7 @@
         try:
             if answer.head.not_run:
                 return self._dispatch.outcomes.record_refusal(
-                    self._places.primary, answer.head, self._sent_at
+                    self._replicas.primary, answer.head, self._sent_at
                 )
             if answer.head.success and not answer.head.genuine:
                 return AttemptFailure.BROKEN
@@ -142,7 +142,7 @@
 
     async def _continue(self) -> bool:
         """Resume at a replica that has a copy; return whether the stream is complete."""
-        options = await self._places.continuations()
+        options = await self._replicas.continuations()
         options.sort(key=lambda option: self._dispatch.remaining_hold_s(option[0]))
         for target, memory in options:
             if not await self._dispatch.wait_for_permit(self._request, target):
@@ -159,7 +159,7 @@
 
     async def _continue_at(self, target: Replica, memory: MovedMemory) -> RelayAnswer | None:
         """Ask a replica to resume the generation; return None if it cannot."""
-        lost = await self._places.move_to(target)
+        lost = await self._replicas.move_to(target)
         self._moves += 1
         self._no_event_since_move = True
         self._reset_interval()
@@ -168,7 +168,7 @@
             request_id=self._request.request_id,
             lost=lost.name,
             replica=target.name,
-            copy=_name(self._places.backup),
+            copy=_name(self._replicas.backup),
             handle=memory.handle,
             after_event=self._merger.last_event_number,
         )
@@ -198,8 +198,8 @@
             while data := await self._read(answer):
                 ready = self._merger.merge(splitter.feed(data))
                 if ready:
-                    self._places.note_prompt_read()
-                    self._places.note_progress()
+                    self._replicas.note_prompt_read()
+                    self._replicas.note_progress()
                     self._note_pause()
                     await self._write(ready)
         except (UpstreamBrokenError, ValueError) as error:
@@ -210,7 +210,7 @@
         if splitter.rest:
             self._on_broken("stream ended within an event")
             return False
-        self._dispatch.outcomes.record_success(self._request, self._places.primary)
+        self._dispatch.outcomes.record_success(self._request, self._replicas.primary)
         return True
 
     async def _write(self, ready: bytes) -> None:
@@ -230,7 +230,7 @@
 
         If there is a copy to resume from, a long silence counts as a broken connection.
         """
-        if self._merger.last_event_number < 0 or not self._places.has_copy:
+        if self._merger.last_event_number < 0 or not self._replicas.has_copy:
             return await answer.read()
         try:
             async with asyncio.timeout(MAX_SILENCE_S):
@@ -246,7 +246,7 @@
         self._last_event_when_sent = self._merger.last_event_number
         try:
             return await self._dispatch.open(
-                self._request, replica, continuation, self._places.backup
+                self._request, replica, continuation, self._replicas.backup
             )
         except UpstreamHeldBackError:
             raise
@@ -277,26 +277,26 @@
         self._dispatch.log.info(
             "stream_paused",
             request_id=self._request.request_id,
-            replica=self._places.primary.name,
+            replica=self._replicas.primary.name,
             event_number=self._merger.last_event_number,
             pause_ms=round(pause * 1000.0),
         )
 
     def _record_interval(self, event_s: float) -> None:
         """Record the event interval if the primary had no unread prompts at its start and end."""
-        home = self._places.primary
+        primary = self._replicas.primary
         had_unread_before, self._had_unread_prompts = (
             self._had_unread_prompts,
-            self._dispatch.pace.has_unread_prompts(home),
+            self._dispatch.pace.has_unread_prompts(primary),
         )
         if not had_unread_before and not self._had_unread_prompts:
-            self._dispatch.pace.note_event_interval(self._request, home, event_s)
+            self._dispatch.pace.note_event_interval(self._request, primary, event_s)
 
     def _log_stream_joined(self, pause_s: float) -> None:
         self._dispatch.log.info(
             "stream_joined",
             request_id=self._request.request_id,
-            replica=self._places.primary.name,
+            replica=self._replicas.primary.name,
             event_number=self._merger.last_event_number,
             pause_ms=round(pause_s * 1000.0),
             replicas=self._dispatch.placer.options.describe(self._request.service, set()),
@@ -310,7 +310,7 @@
             request_id=self._request.request_id,
             route=self._request.route.name,
             workspace=self._request.relay.workspace,
-            replica=self._places.primary.name,
+            replica=self._replicas.primary.name,
             prompt_tokens=self._request.prompt_tokens,
             last_event=self._merger.last_event_number,
             first_event_ms=round((times.first_s or 0.0) * 1000.0),
@@ -322,7 +322,7 @@
         )
 
     def _on_broken(self, reason: str) -> None:
-        replica = self._places.primary
+        replica = self._replicas.primary
         if not self._dispatch.placer.stays(replica):
             self._dispatch.allocations.note_gone(replica)
         self._note_broken(replica)
@@ -331,8 +331,8 @@
             request_id=self._request.request_id,
             replica=replica.name,
             last_event=self._merger.last_event_number,
-            copy=_name(self._places.backup),
-            shadow=_name(self._places.shadow),
+            copy=_name(self._replicas.backup),
+            shadow=_name(self._replicas.shadow),
             reason=reason,
         )
 
