--- a/reachlink/scheduling/_queue_state.py
+++ b/reachlink/scheduling/_queue_state.py
@@ -12,7 +12,8 @@
     ahead : int
         Number of requests ahead.
     ahead_tokens : int
-        Memory that the requests ahead need, in tokens.
+        Memory that the requests ahead of the same class need, in tokens: those of the same
+        priority that can also be in time, or can also only be late.
     granted_tokens_per_s : float
         Memory granted to waiting requests per second, in tokens; 0 if unknown.
     reserved_tokens : int
