--- a/reachlink/requests/_allocations.py
+++ b/reachlink/requests/_allocations.py
@@ -41,46 +41,46 @@
             Whether the replica gets only a copy of the memory.
         """
         unread = request.prompt_tokens if reads else 0
-        flight = Allocation(
+        allocation = Allocation(
             request.request_id,
             need_tokens(request),
             unread,
             used_tokens=request.prompt_tokens,
             is_copy=copy,
         )
-        self._parts.book.add(replica.name, flight)
+        self._parts.book.add(replica.name, allocation)
         if not copy:
-            flight.body_bytes = len(request.relay.body)
-            self._sent.add(replica.name, flight.body_bytes)
-        return flight
+            allocation.body_bytes = len(request.relay.body)
+            self._sent.add(replica.name, allocation.body_bytes)
+        return allocation
 
-    def remove(self, replica: Replica, flight: Allocation) -> None:
+    def remove(self, replica: Replica, allocation: Allocation) -> None:
         """Remove an allocation from a replica."""
-        self._parts.book.remove(replica.name, flight)
-        self._sent.remove(replica.name, flight.body_bytes)
-        flight.body_bytes = 0
+        self._parts.book.remove(replica.name, allocation)
+        self._sent.remove(replica.name, allocation.body_bytes)
+        allocation.body_bytes = 0
 
     def full_replicas(self, size: int) -> frozenset[str]:
         """Return the replicas whose limit of bytes from this instance `size` would exceed."""
         return self._sent.replicas_without_room(size, self._parts.instance_count())
 
-    def mark_prompt_read(self, flight: Allocation) -> None:
+    def mark_prompt_read(self, allocation: Allocation) -> None:
         """Record that a replica has processed a request's prompt."""
-        self._parts.book.mark_prompt_read(flight)
+        self._parts.book.mark_prompt_read(allocation)
 
-    def mark_not_evictable(self, flight: Allocation) -> None:
+    def mark_not_evictable(self, allocation: Allocation) -> None:
         """Record that a copy is no longer evictable."""
-        self._parts.book.mark_not_evictable(flight)
+        self._parts.book.mark_not_evictable(allocation)
 
-    def expect_resume(self, flight: Allocation, home: Replica) -> None:
+    def expect_resume(self, allocation: Allocation, primary: Replica) -> None:
         """Record when a generation will resume from its copy because its primary leaves."""
         departures = self._parts.shutdown_times
-        departures.note_leaving(home.name, self._parts.clock())
-        at = departures.expected_at(home.name)
+        departures.note_leaving(primary.name, self._parts.clock())
+        at = departures.expected_at(primary.name)
         if at is not None and (
-            flight.resumes_at is None or abs(at - flight.resumes_at) > MIN_SENT_CHANGE_S
+            allocation.resumes_at is None or abs(at - allocation.resumes_at) > MIN_SENT_CHANGE_S
         ):
-            flight.resumes_at = at
+            allocation.resumes_at = at
             self._parts.book.notify_listeners()
 
     def shutdown_in_s(self, replica: Replica) -> float | None:
--- a/reachlink/requests/_copy_order.py
+++ b/reachlink/requests/_copy_order.py
@@ -33,7 +33,7 @@
             for name in leaving
         )
 
-    def must_evict(self, service: Service, replica: Replica, flight: Allocation) -> bool:
+    def must_evict(self, service: Service, replica: Replica, allocation: Allocation) -> bool:
         """Return whether a copy of this instance has to be evicted from its replica."""
         if service.engine is None:
             return False
@@ -41,15 +41,15 @@
         state = parts.book.state(replica.name)
         others = parts.shared.usage_at(replica.name, parts.clock())
         return must_evict(
-            flight.summary,
+            allocation.summary,
             [*state.own_evictable_copies, *others.copies],
             state.own_used_tokens + others.used_tokens,
             service.engine.kv_capacity_tokens,
         )
 
-    def departure_copy_rank(self, replica: Replica, flight: Allocation) -> int:
+    def departure_copy_rank(self, replica: Replica, allocation: Allocation) -> int:
         """Return the number of generations to copy from a replica before the given one."""
         parts = self._parts
         others = parts.shared.usage_at(replica.name, parts.clock())
         own = parts.book.state(replica.name).own_unreplicated
-        return departure_copy_rank(flight.summary, [*own, *others.unreplicated])
+        return departure_copy_rank(allocation.summary, [*own, *others.unreplicated])
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -33,40 +33,42 @@
         self._avoided_until[replica.name] = self._dispatch.now() + AVOIDANCE_S
 
     async def standing_copy(
-        self, home: Replica, excluded: set[str], used_tokens: int
+        self, primary: Replica, excluded: set[str], used_tokens: int
     ) -> Replica | None:
         """Return the replica for a copy while the primary stays, if there is one.
 
         Parameters
         ----------
-        home : Replica
+        primary : Replica
             Replica at which the generation runs.
         excluded : set of str
             Names of replicas that must not be chosen, besides the primary.
         used_tokens : int
             Memory that the generation takes now, in tokens.
         """
-        near = self._placing.reachable.is_near(home)
+        near = self._placing.reachable.is_near(primary)
         purpose = PlacementPurpose.STANDING_COPY if near else PlacementPurpose.LOCAL_COPY
-        return await self._place(home, excluded, used_tokens, purpose)
+        return await self._place(primary, excluded, used_tokens, purpose)
 
     async def departure_copy(
-        self, home: Replica, excluded: set[str], used_tokens: int
+        self, primary: Replica, excluded: set[str], used_tokens: int
     ) -> Replica | None:
         """Return the replica for a copy from a leaving primary, if there is one."""
         # Time is short, and a transfer within the zone takes half as long as to another zone.
-        zone = home.availability_zone
-        return await self._place(home, excluded, used_tokens, PlacementPurpose.DEPARTURE_COPY, zone)
+        zone = primary.availability_zone
+        return await self._place(
+            primary, excluded, used_tokens, PlacementPurpose.DEPARTURE_COPY, zone
+        )
 
     async def _place(
         self,
-        home: Replica,
+        primary: Replica,
         excluded: set[str],
         used_tokens: int,
         purpose: PlacementPurpose,
         zone: str = "",
     ) -> Replica | None:
-        left_out = {home.name, *excluded, *self._avoided()}
+        left_out = {primary.name, *excluded, *self._avoided()}
         return await self._placing.place_copy(self._request, left_out, used_tokens, purpose, zone)
 
     def _avoided(self) -> set[str]:
--- a/reachlink/requests/_generation_replicas.py
+++ b/reachlink/requests/_generation_replicas.py
@@ -139,11 +139,11 @@
         If a generation gets longer than estimated, its expected memory increases with it.
         Otherwise, full engines would preempt other generations for it (test_promise_load).
         """
-        outlook = self._progress()
-        for place in (self._primary, self._backup, self._shadow_allocation):
-            if place is not None:
-                place.allocation.used_tokens = outlook.used_tokens
-                place.allocation.tokens = max(place.allocation.tokens, outlook.final_tokens)
+        progress = self._progress()
+        for carrier in (self._primary, self._backup, self._shadow_allocation):
+            if carrier is not None:
+                carrier.allocation.used_tokens = progress.used_tokens
+                carrier.allocation.tokens = max(carrier.allocation.tokens, progress.final_tokens)
 
     def release(self) -> None:
         """Release all replicas."""
@@ -164,9 +164,9 @@
             found.append((replica, MovedMemory(replica.address, self._request.request_id)))
         return found
 
-    def _may_resume_from(self, place: _ReplicaAllocation) -> bool:
+    def _may_resume_from(self, carrier: _ReplicaAllocation) -> bool:
         """Return whether a generation may resume from a copy."""
-        return self._placing.is_in_service(place.replica) and not self._has_restarted(place)
+        return self._placing.is_in_service(carrier.replica) and not self._has_restarted(carrier)
 
     async def maintain_copies(self) -> None:
         """Maintain a shadow copy at a replica that stays, until cancelled."""
@@ -196,12 +196,12 @@
     def _update_allocations(self) -> None:
         """Update what the other instances need to sort departure copies and evictions."""
         assert self._primary is not None
-        flight = self._primary.allocation
-        flight.expected_loss = self._expected_loss()
+        allocation = self._primary.allocation
+        allocation.expected_loss = self._expected_loss()
         if self._shadow is not None and self._shadow_allocation is not None:
             self._shadow_allocation.allocation.transfer_pending = not self._shadow.has_memory
         covered = self._backup is not None or (self._shadow is not None and self._shadow.has_memory)
-        flight.unreplicated = not covered and self._is_worth_departure_copy()
+        allocation.unreplicated = not covered and self._is_worth_departure_copy()
 
     def _may_start_copy(self) -> bool:
         """Return whether a copy of this generation may be started now."""
@@ -245,9 +245,9 @@
             self._shadow.has_memory and self._must_evict_shadow(self._shadow_allocation)
         )
 
-    def _has_restarted(self, place: _ReplicaAllocation) -> bool:
+    def _has_restarted(self, carrier: _ReplicaAllocation) -> bool:
         """Return whether a replica has restarted since memory was sent there."""
-        return 0 < place.born < self._placing.born(place.replica)
+        return 0 < carrier.born < self._placing.born(carrier.replica)
 
     def _leaves_with_primary(self, target: Replica) -> bool:
         """Return whether a target leaves too soon after the primary, with time for a new copy.
@@ -257,11 +257,11 @@
         """
         if self._placing.stays(target):
             return False
-        home_left = self._dispatch.allocations.shutdown_in_s(self.primary)
-        target_left = self._dispatch.allocations.shutdown_in_s(target)
-        if home_left is None or target_left is None or home_left < MIN_SHUTDOWN_GAP_S:
+        primary_left_s = self._dispatch.allocations.shutdown_in_s(self.primary)
+        target_left_s = self._dispatch.allocations.shutdown_in_s(target)
+        if primary_left_s is None or target_left_s is None or primary_left_s < MIN_SHUTDOWN_GAP_S:
             return False
-        return target_left < home_left + MIN_SHUTDOWN_GAP_S
+        return target_left_s < primary_left_s + MIN_SHUTDOWN_GAP_S
 
     def _note_failed_shadow(self, shadow: ShadowCopy) -> None:
         """Exclude a target without room; delay the next copy if the source failed."""
@@ -272,19 +272,19 @@
         elif shadow.move_failure is None:
             self._no_copy_before = self._dispatch.now() + SOURCE_FAILURE_DELAY_S
 
-    def _must_evict_shadow(self, place: _ReplicaAllocation) -> bool:
+    def _must_evict_shadow(self, carrier: _ReplicaAllocation) -> bool:
         """Return whether the shadow copy must be evicted; if so, avoid its replica."""
-        place.allocation.expected_loss = self._expected_loss()
+        carrier.allocation.expected_loss = self._expected_loss()
         if not self._dispatch.copy_order.must_evict(
-            self._request.service, place.replica, place.allocation
+            self._request.service, carrier.replica, carrier.allocation
         ):
             return False
-        self._targets.avoid(place.replica)
+        self._targets.avoid(carrier.replica)
         self._dispatch.log.info(
             "copy_gives_way",
             request_id=self._request.request_id,
-            target=place.replica.name,
-            stake=place.allocation.expected_loss,
+            target=carrier.replica.name,
+            stake=carrier.allocation.expected_loss,
         )
         return True
 
@@ -308,17 +308,17 @@
 
     async def _start_shadow(self, leaving: bool) -> None:
         """Start a shadow copy if there is a replica for it."""
-        home = self._primary
+        primary = self._primary
         target = await self._choose_shadow_target(leaving)
         # The generation may have resumed elsewhere during the query to a coordinator.
-        if target is None or self._primary is not home:
+        if target is None or self._primary is not primary:
             return
         self._log_shadow(target, leaving)
         self._shadow_allocation = self._allocate(target, copy=True)
-        flight = self._shadow_allocation.allocation
-        flight.evictable = not leaving
-        flight.expected_loss = self._expected_loss()
-        flight.transfer_pending = True
+        allocation = self._shadow_allocation.allocation
+        allocation.evictable = not leaving
+        allocation.expected_loss = self._expected_loss()
+        allocation.transfer_pending = True
         self._shadow = ShadowCopy(
             self._dispatch.adapter,
             self._request.request_id,
@@ -371,7 +371,7 @@
         return self._progress().expected_loss(near)
 
     async def _choose_backup(
-        self, excluded: set[str], before: Replica | None = None
+        self, excluded: set[str], previous: Replica | None = None
     ) -> _ReplicaAllocation | None:
         """Choose a backup, if it is needed and there is room, and record its allocation.
 
@@ -382,25 +382,25 @@
             return None
         if self._progress().remaining_tokens < MIN_COPY_TOKENS:
             return None
-        home = self.primary
-        if before is not None and self._may_be_backup(before, home):
-            return self._allocate(before, copy=True)
-        found = await self._targets.standing_copy(home, excluded, self._progress().used_tokens)
+        primary = self.primary
+        if previous is not None and self._may_be_backup(previous, primary):
+            return self._allocate(previous, copy=True)
+        found = await self._targets.standing_copy(primary, excluded, self._progress().used_tokens)
         return self._allocate(found, copy=True) if found is not None else None
 
-    def _may_be_backup(self, before: Replica, home: Replica) -> bool:
+    def _may_be_backup(self, previous: Replica, primary: Replica) -> bool:
         """Return whether the previous primary may be the backup."""
-        if before.name == home.name or not self._placing.takes_work(before):
+        if previous.name == primary.name or not self._placing.takes_work(previous):
             return False
-        return self._placing.reachable.is_near(before) or self._placing.reachable.is_near(home)
+        return self._placing.reachable.is_near(previous) or self._placing.reachable.is_near(primary)
 
     def _allocate(
         self, replica: Replica, reads: bool = False, copy: bool = False
     ) -> _ReplicaAllocation:
-        flight = self._dispatch.allocations.add(self._request, replica, reads, copy)
-        flight.used_tokens = self._progress().used_tokens
-        return _ReplicaAllocation(replica, flight, self._placing.born(replica))
+        allocation = self._dispatch.allocations.add(self._request, replica, reads, copy)
+        allocation.used_tokens = self._progress().used_tokens
+        return _ReplicaAllocation(replica, allocation, self._placing.born(replica))
 
-    def _free(self, place: _ReplicaAllocation | None) -> None:
-        if place is not None:
-            self._dispatch.allocations.remove(place.replica, place.allocation)
+    def _free(self, carrier: _ReplicaAllocation | None) -> None:
+        if carrier is not None:
+            self._dispatch.allocations.remove(carrier.replica, carrier.allocation)
--- a/reachlink/requests/_placement_query.py
+++ b/reachlink/requests/_placement_query.py
@@ -152,6 +152,6 @@
 """Sends a query to a coordinator; returns None if this instance has to decide itself."""
 
 
-async def decide_here(question: PlacementQuery) -> PlacementReply | None:
+async def decide_here(query: PlacementQuery) -> PlacementReply | None:
     """Return None: this instance decides, since it is a coordinator or knows none."""
     return None
--- a/reachlink/requests/_placer.py
+++ b/reachlink/requests/_placer.py
@@ -100,11 +100,9 @@
             with a rate limit.
         """
         excluded = tried | self._held_replicas(request.service, within_s)
-        question = self.query(request, excluded, avoid_resuming)
-        answer = await self._ask(request.service, question)
-        return (
-            self.decide(request.service, question) if answer is None else self._replica_of(answer)
-        )
+        query = self.query(request, excluded, avoid_resuming)
+        answer = await self._ask(request.service, query)
+        return self.decide(request.service, query) if answer is None else self._replica_of(answer)
 
     async def place_queued(
         self, request: CallerRequest, tried: set[str], avoid_resuming: bool, hold_s: float
@@ -129,10 +127,10 @@
         """
         excluded = tried | self._held_replicas(request.service)
         asked = self.query(request, excluded, avoid_resuming)
-        question = structs.replace(asked, hold_s=hold_s)
-        answer = await self._ask(request.service, question)
+        query = structs.replace(asked, hold_s=hold_s)
+        answer = await self._ask(request.service, query)
         if answer is None:
-            return self.decide(request.service, question)
+            return self.decide(request.service, query)
         if answer.replica is None:
             return answer.wait_or_refuse
         # A replica that is known here to be leaving gives no room, and the request has lost
@@ -181,7 +179,7 @@
         zone : str
             Availability zone whose replicas are preferred; if empty, this instance's zone.
         """
-        question = PlacementQuery(
+        query = PlacementQuery(
             instance="",
             request_id=request.request_id,
             service=request.service.name,
@@ -192,12 +190,12 @@
             zones=_sorted_zones(request.zones),
             need=Need(tokens=tokens, max_pause_s=request.route.event_gap_s),
         )
-        found = self.decide(request.service, question)
+        found = self.decide(request.service, query)
         # The local information is at most a second old. It is good enough to avoid sending
         # many futile queries per second for copies that are wanted but not urgent.
         if found is None and purpose is not PlacementPurpose.DEPARTURE_COPY:
             return None
-        answer = await self._ask(request.service, question)
+        answer = await self._ask(request.service, query)
         return found if answer is None else self._replica_of(answer)
 
     def _replica_of(self, answer: PlacementReply) -> Replica | None:
@@ -210,17 +208,17 @@
         )
         return replica if self.takes_work(replica) else None
 
-    async def _ask(self, service: Service, question: PlacementQuery) -> PlacementReply | None:
+    async def _ask(self, service: Service, query: PlacementQuery) -> PlacementReply | None:
         if service.engine is None:
             return None
         parts = self._parts
         # The coordinator may not know yet that these replicas are leaving.
         leaving = parts.directory.leaving(service.name, parts.clock() - LEAVING_EXCLUSION_S)
-        excluded = tuple({*question.excluded, *leaving})
-        return await parts.ask_coordinator(structs.replace(question, excluded=excluded))
+        excluded = tuple({*query.excluded, *leaving})
+        return await parts.ask_coordinator(structs.replace(query, excluded=excluded))
 
     def start(
-        self, service: Service, question: PlacementQuery, line: QueueState = EMPTY_QUEUE
+        self, service: Service, query: PlacementQuery, line: QueueState = EMPTY_QUEUE
     ) -> Start:
         """Return where and when a request or copy could start, by this instance's information.
 
@@ -228,45 +226,45 @@
         ----------
         service : Service
             Service of the request.
-        question : PlacementQuery
+        query : PlacementQuery
             Placement query.
         line : QueueState
             Requests ahead in the queue.
         """
-        need = question.need or Need(question.tokens, question.prompt_tokens)
+        need = query.need or Need(query.tokens, query.prompt_tokens)
         if line.ahead:
             # The replicas are irrelevant while other requests are ahead in the queue.
-            return best_start((), need, self._parts.random, line, question.terms)
-        options = self._options_for(service, question)
-        start = best_start(options, need, self._parts.random, line, question.terms)
-        if isinstance(start, Begin) and question.purpose is PlacementPurpose.REQUEST:
+            return best_start((), need, self._parts.random, line, query.terms)
+        options = self._options_for(service, query)
+        start = best_start(options, need, self._parts.random, line, query.terms)
+        if isinstance(start, Begin) and query.purpose is PlacementPurpose.REQUEST:
             self._cold.note_sent(start.replica)
         return start
 
-    def has_room(self, service: Service, question: PlacementQuery) -> bool:
+    def has_room(self, service: Service, query: PlacementQuery) -> bool:
         """Return whether a replica has room for a request or copy now."""
-        options = self._options_for(service, question)
-        random, terms = self._parts.random, question.terms
-        return choose_replica(options, question.tokens, random, terms) is not None
+        options = self._options_for(service, query)
+        random, terms = self._parts.random, query.terms
+        return choose_replica(options, query.tokens, random, terms) is not None
 
-    def _options_for(self, service: Service, question: PlacementQuery) -> list[ReplicaOption]:
+    def _options_for(self, service: Service, query: PlacementQuery) -> list[ReplicaOption]:
         """Return the replicas that are allowed for a request or copy."""
-        excluded = set(question.excluded)
-        if question.purpose is PlacementPurpose.REQUEST:
+        excluded = set(query.excluded)
+        if query.purpose is PlacementPurpose.REQUEST:
             excluded.update(self._cold.at_limit(service))
-        options = self._options.for_service(service, excluded, question.zone)
-        if question.zones is not None:
-            options = [o for o in options if self._zone_of(o.name) in question.zones]
-        if question.avoid_resuming:
+        options = self._options.for_service(service, excluded, query.zone)
+        if query.zones is not None:
+            options = [o for o in options if self._zone_of(o.name) in query.zones]
+        if query.avoid_resuming:
             options = [o for o in options if prefill_ends_before_resume(o, PROMPT_DELAY_S)]
         return options
 
-    def decide(self, service: Service, question: PlacementQuery) -> Replica | None:
+    def decide(self, service: Service, query: PlacementQuery) -> Replica | None:
         """Return the replica at which a request or copy can start now, if any.
 
         Uses only this instance's information and asks no coordinator.
         """
-        start = self.start(service, question)
+        start = self.start(service, query)
         return self._parts.directory.find(start.replica) if isinstance(start, Begin) else None
 
     def _zone_of(self, name: str) -> str:
--- a/reachlink/requests/_queue_placer.py
+++ b/reachlink/requests/_queue_placer.py
@@ -58,30 +58,30 @@
             room.
         """
         parts = self._parts
-        in_line = False
-        kept_at = parts.clock()
+        queued = False
+        owner_seen_at = parts.clock()
         while True:
             asked_at = parts.clock()
             avoid_resuming = may_wait_for_room(request, asked_at)
             # The first reply is not delayed, so that a missing owner is noticed early.
-            hold_s = QUEUE_POLL_TIMEOUT_S if in_line else 0.0
+            hold_s = QUEUE_POLL_TIMEOUT_S if queued else 0.0
             found = await self._placing.place_queued(request, tried, avoid_resuming, hold_s)
             if isinstance(found, Replica | Refuse):
                 return found
-            if found is None and not in_line:
+            if found is None and not queued:
                 return None
             if self._waits_for_other_than_room(request, tried):
                 return None
             if found is not None:
-                kept_at = parts.clock()
-            elif parts.clock() - kept_at > MAX_NO_OWNER_POLL_S:
+                owner_seen_at = parts.clock()
+            elif parts.clock() - owner_seen_at > MAX_NO_OWNER_POLL_S:
                 return None
             if found is None:
                 # The owner has just started. The request's age determines its position.
                 await asyncio.sleep(NO_OWNER_POLL_INTERVAL_S)
-            elif in_line and parts.clock() - asked_at < MIN_HELD_REPLY_S:
+            elif queued and parts.clock() - asked_at < MIN_HELD_REPLY_S:
                 await asyncio.sleep(ROOM_POLL_INTERVAL_S)
-            in_line = in_line or isinstance(found, Wait)
+            queued = queued or isinstance(found, Wait)
 
     def _waits_for_other_than_room(self, request: CallerRequest, tried: set[str]) -> bool:
         """Return whether a request waits for something other than room."""
--- a/reachlink/requests/_replica_tracker.py
+++ b/reachlink/requests/_replica_tracker.py
@@ -132,37 +132,41 @@
     @property
     def own_tokens(self) -> int:
         """Memory that own requests need when they end, in tokens, without evictable copies."""
-        return sum(flight.tokens for flight in self.allocations if not flight.evictable)
+        return sum(allocation.tokens for allocation in self.allocations if not allocation.evictable)
 
     @property
     def own_used_tokens(self) -> int:
         """Memory that own requests take now, in tokens, without evictable copies."""
-        return sum(flight.used_tokens for flight in self.allocations if not flight.evictable)
+        return sum(
+            allocation.used_tokens for allocation in self.allocations if not allocation.evictable
+        )
 
     @property
     def own_evictable_copies(self) -> tuple[AllocationSummary, ...]:
         """Summaries of this instance's own evictable copies."""
-        return tuple(flight.summary for flight in self.allocations if flight.evictable)
+        return tuple(allocation.summary for allocation in self.allocations if allocation.evictable)
 
     @property
     def own_unread_tokens(self) -> int:
         """Unprocessed prompt tokens of this instance's own requests."""
-        return sum(flight.unread_tokens for flight in self.allocations)
+        return sum(allocation.unread_tokens for allocation in self.allocations)
 
     @property
     def own_unreplicated(self) -> tuple[AllocationSummary, ...]:
         """Summaries of this instance's own generations that no other replica has a copy of."""
-        return tuple(flight.summary for flight in self.allocations if flight.unreplicated)
+        return tuple(
+            allocation.summary for allocation in self.allocations if allocation.unreplicated
+        )
 
     @property
     def own_pending_transfers(self) -> int:
         """Number of this instance's copies whose first transfer has not ended."""
-        return sum(1 for flight in self.allocations if flight.transfer_pending)
+        return sum(1 for allocation in self.allocations if allocation.transfer_pending)
 
     @property
     def own_running(self) -> int:
         """Number of requests of this instance at the replica, without copies."""
-        return sum(1 for flight in self.allocations if not flight.is_copy)
+        return sum(1 for allocation in self.allocations if not allocation.is_copy)
 
     @property
     def answered_at(self) -> float:
@@ -171,7 +175,7 @@
 
     def next_own_resume_at(self, now: float) -> float | None:
         """Return the monotonic time at which the next of this instance's generations resumes."""
-        times = [f.resumes_at for f in self.allocations if f.resumes_at is not None]
+        times = [a.resumes_at for a in self.allocations if a.resumes_at is not None]
         return min((at for at in times if at + RESUME_TOLERANCE_S > now), default=None)
 
     def allowance_from_coordinator(self, now: float) -> float:
@@ -288,20 +292,20 @@
         self._outcomes.clear()
         return outcomes
 
-    def add(self, replica: str, flight: Allocation) -> None:
+    def add(self, replica: str, allocation: Allocation) -> None:
         """Add the allocation of a request or a copy to a replica."""
-        self.state(replica).allocations.add(flight)
+        self.state(replica).allocations.add(allocation)
         self.notify_listeners()
 
-    def remove(self, replica: str, flight: Allocation) -> None:
+    def remove(self, replica: str, allocation: Allocation) -> None:
         """Remove an allocation from a replica."""
-        self.state(replica).allocations.discard(flight)
+        self.state(replica).allocations.discard(allocation)
         self.notify_listeners()
 
-    def mark_prompt_read(self, flight: Allocation) -> None:
+    def mark_prompt_read(self, allocation: Allocation) -> None:
         """Record that the replica has processed a request's prompt."""
-        if flight.unread_tokens:
-            flight.unread_tokens = 0
+        if allocation.unread_tokens:
+            allocation.unread_tokens = 0
             self.notify_listeners()
 
     def reset_replica(self, replica: str) -> None:
@@ -331,10 +335,10 @@
         """Return the replicas at which this instance's allocations take memory."""
         return [name for name, state in self._states.items() if state.own_tokens]
 
-    def mark_not_evictable(self, flight: Allocation) -> None:
+    def mark_not_evictable(self, allocation: Allocation) -> None:
         """Record that a copy is no longer evictable."""
-        if flight.evictable:
-            flight.evictable = False
+        if allocation.evictable:
+            allocation.evictable = False
             self.notify_listeners()
 
     def usages(self, now: float) -> list[ReplicaUsage]:
@@ -342,7 +346,7 @@
         return [
             state.usage(name, now)
             for name, state in self._states.items()
-            if any(flight.tokens for flight in state.allocations)
+            if any(allocation.tokens for allocation in state.allocations)
         ]
 
 
