--- a/reachlink/requests/tests/test_book.py
+++ b/reachlink/requests/tests/test_book.py
@@ -1,9 +1,9 @@
-"""What is known of replicas is bounded by those that are there."""
+"""State of replicas and instances that are gone is dropped, so that memory stays bounded."""
 
 from reachlink.requests import Allocation, LoadUpdate, PeerLoad, ReplicaTracker, ReplicaUsage
 
 
-def test_replicas_that_are_gone_are_forgotten_unless_they_carry_something():
+def test_gone_replicas_are_dropped_unless_they_have_allocations():
     book = ReplicaTracker()
     flight = Allocation("id-1", 100)
     book.add("r1", flight)
@@ -19,7 +19,7 @@
     assert book.state("r1") is not old
 
 
-def test_instances_that_are_silent_for_long_are_forgotten():
+def test_instances_that_are_silent_for_long_are_dropped():
     load = PeerLoad()
     load.update(LoadUpdate("e1", [ReplicaUsage("r1", 1, 100)]), 0.0)
     load.update(LoadUpdate("e2", []), 500.0)
--- a/reachlink/requests/tests/test_choice.py
+++ b/reachlink/requests/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Which replica gets a request, or a copy."""
+"""Choice of the replica for a request or a copy."""
 
 from random import Random
 
@@ -32,31 +32,31 @@
     return ReplicaOption(name, near, running, 6, allowance=trust)
 
 
-def test_the_emptiest_engine_is_chosen():
+def test_least_loaded_engine_is_chosen():
     assert choose_replica([engine("a", 9000), engine("b", 3000)], 2000, RANDOM) == "b"
 
 
-def test_prompts_to_be_read_count():
+def test_unread_prompts_count():
     assert choose_replica([engine("a", 6000), engine("b", 3000, unread=6000)], 2000, RANDOM) == "a"
 
 
-def test_a_near_engine_that_begins_in_time_is_chosen_before_an_idle_one_elsewhere():
+def test_engine_in_own_zone_that_starts_in_time_is_preferred_to_idle_one_in_other_zone():
     far = engine("far", 0, near=False)
     assert choose_replica([engine("near", 12_000, unread=2000), far], 2000, RANDOM) == "near"
     assert choose_replica([engine("near", 12_000, unread=4000), far], 2000, RANDOM) == "far"
     assert choose_replica([engine("near", 27_000), far], 2000, RANDOM) == "far"
 
 
-def test_of_near_engines_that_begin_in_time_the_emptiest_is_chosen():
+def test_least_loaded_engine_in_own_zone_that_starts_in_time_is_chosen():
     options = [engine("a", 9000), engine("b", 3000), engine("far", 0, near=False)]
     assert choose_replica(options, 2000, RANDOM) == "b"
 
 
-def test_an_engine_without_room_gets_nothing():
+def test_engine_without_room_gets_no_request():
     assert choose_replica([engine("a", 29_000)], 4000, RANDOM) is None
 
 
-def test_a_request_counts_what_was_promised_a_copy_what_is_used():
+def test_request_counts_expected_memory_and_copy_counts_used_memory():
     promised = [engine("a", 29_000, used=15_000)]
     assert choose_replica(promised, 4000, RANDOM) is None
     assert choose_replica(promised, 4000, RANDOM, STANDING_COPY_RULES) == "a"
@@ -66,14 +66,14 @@
     )
 
 
-def test_copies_give_way_to_requests_and_rescues_but_not_to_copies():
+def test_copies_are_evicted_for_requests_and_departure_copies_but_not_for_standing_copies():
     options = [engine("a", 15_000, used=12_000, copies=12_000)]
     assert choose_replica(options, 4000, RANDOM) == "a"
     assert choose_replica(options, 4000, RANDOM, DEPARTURE_COPY_RULES) == "a"
     assert choose_replica(options, 4000, RANDOM, STANDING_COPY_RULES) is None
 
 
-def test_a_rescue_takes_any_room():
+def test_departure_copy_uses_any_free_memory():
     assert (
         choose_replica([engine("a", 33_000, used=26_000)], 4000, RANDOM, DEPARTURE_COPY_RULES)
         == "a"
@@ -84,28 +84,28 @@
     )
 
 
-def test_a_copy_of_what_runs_elsewhere_is_near():
+def test_copy_of_generation_in_other_zone_is_placed_in_own_zone():
     options = [engine("near", 9000), engine("far", 0, near=False)]
     assert choose_replica(options, 3000, RANDOM, STANDING_COPY_RULES) == "far"
     assert choose_replica(options, 3000, RANDOM, LOCAL_COPY_RULES) == "near"
 
 
-def test_the_least_busy_plain_replica_is_chosen_the_near_one_first():
+def test_plain_replica_with_fewest_requests_is_chosen_and_own_zone_breaks_ties():
     assert choose_replica([plain("a", 2), plain("b", 1)], 0, RANDOM) == "b"
     assert choose_replica([plain("a", 2, near=False), plain("b", 2)], 0, RANDOM) == "b"
     assert choose_replica([plain("a", 1, near=False), plain("b", 3)], 0, RANDOM) == "a"
 
 
-def test_the_only_replica_is_used_though_it_recovers():
-    """Found on a day with a cut zone: nine of ten requests were refused for want of trust."""
+def test_only_replica_is_used_while_it_recovers():
+    """Otherwise, nine of ten requests are refused after a partition because of low allowances."""
     assert all(choose_replica([plain("a", 1, trust=0.1)], 0, RANDOM) == "a" for _ in range(100))
 
 
-def test_a_replica_without_trust_gets_nothing():
+def test_replica_with_zero_allowance_gets_no_request():
     assert choose_replica([plain("a", 1, trust=0.0)], 0, RANDOM) is None
 
 
-def test_one_that_may_have_run_does_not_go_on():
+def test_request_that_may_have_run_is_not_sent_again():
     attempts = AttemptLog(may_repeat=False, max_attempts=5)
     attempts.record_failure(AttemptFailure.UNREACHABLE)
     attempts.record_failure(AttemptFailure.NOT_RUN)
@@ -114,5 +114,5 @@
     assert not attempts.may_try_another_replica()
 
 
-def test_events_without_numbers_pass():
+def test_events_without_numbers_are_forwarded():
     assert EventMerger().merge([StreamEvent(-1, b"a"), StreamEvent(-1, b"b")]) == b"ab"
--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -1,4 +1,4 @@
-"""Cold replicas: all instances together never send more than one bears."""
+"""All instances together never exceed the rate that a cold replica sustains."""
 
 import asyncio
 from collections import Counter
@@ -19,12 +19,12 @@
 from reachlink.requests.tests.world import OK, world_with_script
 from reachlink.routing import RequestKind, Service
 
-# What deployments allow beyond what a cold replica bears, as a factor.
+# Maximum rate that deployments allow, as a multiple of what a cold replica sustains.
 MOST = 1.5
 
 
 @given(st.integers(1, 30), st.floats(0.0, 200.0), st.text("abc", max_size=4))
-def test_coordinators_split_the_whole_exactly(count, bears, replica):
+def test_coordinators_split_their_rate_exactly(count, bears, replica):
     names = tuple(f"e{i}" for i in range(count))
     shares = [
         request_quota(replica, bears, PlacementDeciders(n, names, 99), coordinated=True)
@@ -35,8 +35,8 @@
 
 
 @given(st.lists(st.integers(1, 8), min_size=1, max_size=3), st.floats(1.0, 100.0))
-def test_sides_that_know_nothing_of_each_other_stay_below_what_is_allowed(sides, bears):
-    """Each side of a cut takes itself for the whole; the worst case is their sum."""
+def test_sides_of_a_partition_together_stay_below_the_maximum_rate(sides, bears):
+    """Each side of a network partition uses the whole rate; the worst case is their sum."""
     total = 0
     for side, count in enumerate(sides):
         names = tuple(f"s{side}-{i}" for i in range(count))
@@ -48,8 +48,8 @@
     assert 3 * COORDINATORS_FRACTION + UNCOORDINATED_FRACTION < MOST
 
 
-def test_instances_that_decide_alone_take_their_part_together():
-    """All 410 at once, none with a coordinator in reach: 200 replicas, 25 requests a second."""
+def test_instances_without_coordinator_together_send_their_fraction():
+    """410 instances without a reachable coordinator, 200 replicas at 25 requests per second."""
     names = [f"e{i}" for i in range(410)]
     totals = [
         sum(
@@ -58,13 +58,13 @@
         )
         for r in range(200)
     ]
-    # 5 are meant; what these draws come to besides must fit below what is allowed.
+    # The expected total is 5. With the rounding, the sum must stay below the maximum rate.
     assert 4.0 < sum(totals) / len(totals) < 6.0
     assert max(totals) + 3 * COORDINATORS_FRACTION * 25.0 < MOST * 25.0 + 5
 
 
 @given(st.lists(st.floats(0.0, 20.0), max_size=200), st.integers(0, 6))
-def test_no_window_holds_more_than_the_share(times, share):
+def test_no_window_contains_more_requests_than_the_quota(times, share):
     rates = ColdRequestWindow()
     sent: list[float] = []
     for now in sorted(times):
@@ -75,15 +75,15 @@
         assert sum(begin <= at <= begin + 1.0 for at in sent) <= share
 
 
-def test_what_is_remembered_goes_with_the_window():
+def test_request_times_outside_the_window_are_dropped():
     rates = ColdRequestWindow()
     rates.note_sent("r1", 0.0)
     rates.note_sent("r2", WINDOW_S + 0.1)
     assert list(rates._sent) == ["r2"]
 
 
-def test_a_zone_that_comes_back_cold_gets_what_it_bears():
-    """Two warm and two cold replicas under a burst: none is refused, the cold ones spared."""
+def test_burst_respects_the_rate_of_cold_replicas_without_refusals():
+    """A zone comes back with two cold replicas while two replicas elsewhere are warm."""
     made = world_with_script("a a b b", script=OK)
     service = Service("plain", "/health", 10, cold_requests_per_s=10.0)
     listed = [
@@ -101,11 +101,11 @@
 
     found = Counter(replica.name for replica in asyncio.run(scenario()) if replica)
     assert sum(found.values()) == 60
-    # 10 a second, of which coordinators take 0.4.
+    # The coordinators use a fraction of 0.4 of 10 requests per second.
     assert max(found["p3"], found["p4"]) <= 4
 
 
-def test_where_all_are_cold_no_more_is_sent_than_they_bear():
+def test_rate_is_not_exceeded_if_all_replicas_are_cold():
     made = world_with_script("a b", script=OK)
     service = Service("plain", "/health", 10, cold_requests_per_s=5.0)
     made.directory.update(
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -1,4 +1,4 @@
-"""When leaving replicas will be gone, and prompts that wait for those that join."""
+"""Estimated shutdown times, and prompts that wait while a generation resumes."""
 
 import asyncio
 from random import Random
@@ -22,7 +22,7 @@
 
 
 @pytest.mark.parametrize("notice_s", [0.5, 1.2, 2.5])
-def test_the_usual_notice_is_learned(notice_s):
+def test_length_of_shutdown_notices_is_learned(notice_s):
     departures = ShutdownTimes()
     for number in range(20):
         name = f"r{number}"
@@ -34,7 +34,7 @@
     assert abs(learned - (notice_s if plausible else SHUTDOWN_NOTICE_S)) < 0.05
 
 
-def test_a_report_goes_before_the_usual_notice():
+def test_reported_time_takes_precedence_over_usual_notice():
     departures = ShutdownTimes()
     departures.note_leaving("r1", 10.0)
     departures.note_reported_time("r1", 10.6, leaves_in_s=4.0)
@@ -42,7 +42,7 @@
     assert departures.has_reported_time("r1")
 
 
-def test_the_age_of_reports_is_learned():
+def test_age_of_reports_is_learned():
     departures = ShutdownTimes()
     for number in range(20):
         name, at = f"r{number}", 100.0 * number
@@ -52,7 +52,7 @@
     assert abs(departures.expected_at("next") - 9002.3) < 0.01
 
 
-def test_what_breaks_at_another_time_teaches_nothing():
+def test_nothing_is_learned_from_crash_at_implausible_time():
     departures = ShutdownTimes()
     departures.note_leaving("r1", 10.0)
     departures.note_gone("r1", 18.0)
@@ -62,14 +62,14 @@
     assert departures.expected_at("r9") is None
 
 
-def test_old_departures_are_forgotten():
+def test_old_shutdown_notices_are_dropped():
     departures = ShutdownTimes()
     departures.note_leaving("r1", 10.0)
     departures.note_leaving("r2", 10.0 + RETENTION_S)
     assert departures.expected_at("r1") is None
 
 
-def test_a_prompt_is_not_read_while_a_generation_joins():
+def test_replica_at_which_generation_resumes_is_avoided():
     def option(joins_in_s: float | None) -> ReplicaOption:
         return ReplicaOption("r", True, 0, 8, resumes_in_s=joins_in_s)
 
@@ -80,7 +80,7 @@
     assert choose_replica([option(0.2)], 0, Random(1)) == "r"
 
 
-def test_the_others_are_told_when_a_generation_joins():
+def test_other_instances_receive_the_time_at_which_a_generation_resumes():
     book = ReplicaTracker()
     book.add("r1", Allocation("g1", 3000, is_copy=True, resumes_at=12.0))
     book.add("r1", Allocation("g2", 3000, is_copy=True, resumes_at=9.0))
@@ -94,7 +94,7 @@
     assert shared.usage_at("r1", 12.9).resumes_in_s is None
 
 
-def test_a_prompt_waits_until_the_joint_is_over_but_is_not_refused_for_it():
+def test_prompt_waits_until_generation_has_resumed_and_is_not_refused():
     async def play() -> tuple[float, bytes]:
         world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         loop = asyncio.get_running_loop()
@@ -108,7 +108,7 @@
     assert passed >= 0.05
 
 
-def test_a_joint_that_never_comes_holds_nothing_up_for_long():
+def test_generation_that_never_resumes_delays_prompts_only_briefly():
     async def play() -> bytes:
         world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         now = steady_time()
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -1,10 +1,10 @@
-"""A replica carries out one order to copy a generation at a time.
+"""A replica performs only one transfer of a generation at a time.
 
-Callers saw long answers cut off with a replica that left, though others had room. A copy
-of the generation had been ordered before and was on its way; others needed its room, so
-that it was given up, and each order for another copy was turned away until it had arrived
-all the same. That was taken for want of room: one replica after the other was asked, for
-longer than the notice was, and at each the copies of others gave way in vain.
+Guards against lost generations when a replica leaves although others have room. A shadow copy
+is discarded during its transfer because others need its memory. The source rejects each new
+transfer until the first one has ended. If these rejections are mistaken for lack of room,
+one replica after the other is tried until the shutdown, and copies of other generations are
+evicted at each of them in vain.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 def fleet(breaks_after_s: float) -> World:
-    """Four replicas; where a generation begins, it breaks off."""
+    """Return four replicas; a generation breaks off at the one where it starts."""
 
     async def breaking(sent):
         if sent.continuation is None:
@@ -52,7 +52,7 @@
     return home, target
 
 
-def test_a_copy_on_its_way_is_kept_for_a_home_that_leaves_though_others_need_its_room():
+def test_copy_in_transfer_is_kept_for_leaving_primary_if_others_need_its_memory():
     made = fleet(breaks_after_s=0.1 + NOTICE_S)
 
     async def scenario():
@@ -69,7 +69,7 @@
     assert {order[:2] for order in made.adapter.moves} == {(home, target)}
 
 
-def test_a_copy_on_its_way_gives_way_once_it_has_arrived():
+def test_copy_in_transfer_is_evicted_only_after_its_arrival():
     made = fleet(breaks_after_s=5.0)
 
     async def scenario():
@@ -86,7 +86,7 @@
     assert made.adapter.released[0] == MOVED.memory
 
 
-def test_no_copy_is_ordered_while_one_that_is_not_wanted_any_more_is_on_its_way():
+def test_no_copy_is_requested_during_transfer_of_a_discarded_copy():
     made = fleet(breaks_after_s=5.0)
 
     async def scenario():
@@ -101,14 +101,14 @@
         return home, target
 
     home, target = run_virtually(scenario())
-    # The second one is ordered when the first has arrived, and no replica in between.
+    # The second copy is requested after the first has arrived, and none in between.
     first, second = made.adapter.moves
     assert first[:2] == (home, target)
     assert second[0] == home and second[1] not in (home, target)
 
 
 @pytest.mark.parametrize("setback", [MoveSetback.UNDER_WAY, MoveSetback.NOT_RUNNING])
-def test_a_replica_that_was_not_asked_for_room_is_not_taken_for_full(setback):
+def test_transfer_rejected_by_source_does_not_mark_target_as_full(setback):
     made = fleet(breaks_after_s=0.3)
     made.zones.clear()
     made.zones.update(m1="a", m2="a")
@@ -129,7 +129,7 @@
     assert made.adapter.moves[1] == made.adapter.moves[0]
 
 
-def test_a_replica_without_room_is_not_asked_again_at_once():
+def test_replica_without_room_is_not_retried_at_once():
     made = fleet(breaks_after_s=0.1 + NOTICE_S)
     made.adapter.move_result = MoveResult(setback=MoveSetback.NO_ROOM)
     made.adapter.move_takes_s = 0.0
--- a/reachlink/requests/tests/test_paces.py
+++ b/reachlink/requests/tests/test_paces.py
@@ -1,4 +1,4 @@
-"""What answers, events and calls show of replicas' pace, and where placing gets it."""
+"""Pace of replicas as observed in answers, events and calls, and its use in placement."""
 
 import asyncio
 import contextlib
@@ -25,9 +25,9 @@
 from reachlink.upstreams import AnswerHead, LoadSample
 
 SHORT = 300
-# A seed by which three streams that are placed at once go to three replicas.
+# Random seed with which three streams that are placed at once go to three replicas.
 ONE_TO_EACH = 0
-# Share of the calls that go by counts, whatever is believed.
+# Fraction of the calls that are placed by request counts, whatever the pace estimates are.
 LOOK_SHARE = 0.01
 
 
@@ -41,7 +41,7 @@
 
 
 def play(made: World, *kinds: RequestKind, rounds: int = 1, tokens: int = 1000) -> float:
-    """Carry requests of some kinds at once, round after round; return the time at the end."""
+    """Run requests of some kinds concurrently, round by round; return the time at the end."""
     made.parts.clock = loop_time
 
     async def work() -> float:
@@ -55,7 +55,7 @@
 
 
 def paces(made: World, service: str, names: str) -> list[float]:
-    """Return what lasts at some replicas, which must be asked for."""
+    """Return the steady pace of some replicas; pace-aware scheduling must be on."""
     found = [
         made.book.paces.pace_if_reported(service, name, made.parts.clock())
         for name in names.split()
@@ -76,7 +76,7 @@
     return [piece for number in range(count) for piece in (event(number), apart_s)]
 
 
-def test_the_first_told_pace_counts_for_the_next_decision():
+def test_first_reported_pace_is_used_for_next_decision():
     made = world("a a", p1=[telling(0.55)], p2=[telling(1.2)])
     play(made)
     assert options(made) == {"p1": None, "p2": None}
@@ -86,14 +86,14 @@
 
 
 @pytest.mark.parametrize("pace,asked", [(None, True), (0.55, False)])
-def test_where_none_is_told_or_asked_for_placing_gets_none(pace, asked):
+def test_placement_gets_no_pace_if_none_is_reported_or_setting_is_off(pace, asked):
     made = world_with_script("a a", script=telling(pace))
     made.parts.scheduling = SchedulingSettings(pace=asked)
     play(made, RequestKind.REPEATABLE)
     assert set(options(made).values()) == {None}
 
 
-def test_a_new_lifetime_begins_with_the_usual_pace():
+def test_restarted_replica_has_nominal_pace():
     made = world_with_script("a", script=telling(1.2))
     play(made, RequestKind.REPEATABLE)
     assert paces(made, "plain", "p1") == [1.2]
@@ -101,9 +101,9 @@
     assert paces(made, "plain", "p1") == [1.0]
 
 
-# The second kind is given up after 0.2 s, and the replica gets few of them.
+# In the second case, calls time out after 0.2 s, and the slow replica gets few of them.
 @pytest.mark.parametrize("work_s,at_least", [(0.06, 2.0), (0.1, 1.5)])
-def test_calls_show_a_slow_replica_that_tells_nothing_within_a_second(work_s, at_least):
+def test_slow_replica_without_reports_is_detected_from_calls_within_a_second(work_s, at_least):
     made = world(
         "a a a",
         p1=[telling(1.0, work_s, b"whole")],
@@ -111,14 +111,14 @@
         p3=[telling(None, work_s, b"whole")],
     )
     rounds = int(1.0 / min(0.2 + work_s, 2.5 * work_s))
-    # Each of them is looked at in each round: what placing makes of it is another test.
+    # Each replica gets a call in each round. The effect on placement is tested elsewhere.
     made.parts.scheduling = SchedulingSettings(pace=False)
     assert play(made, *[RequestKind.REPEATABLE] * 3, rounds=rounds) <= 1.0
     told, slow, quick = paces(made, "plain", "p1 p2 p3")
     assert slow > at_least * quick and slow > at_least * told
 
 
-def test_events_show_a_slow_engine_that_tells_the_usual_pace():
+def test_slow_engine_that_reports_nominal_pace_is_detected_from_events():
     made = world(
         "a a a",
         "m",
@@ -132,10 +132,11 @@
     assert paces(made, "model", "m1 m2 m3") == [1.0, pytest.approx(2.67, rel=0.05), 1.0]
 
 
-def test_streams_are_spread_over_replicas_alike_as_the_better_of_two_drawn_is():
-    """The first goes anywhere, and nobody goes where more run unless it is drawn twice.
+def test_streams_are_spread_over_equal_replicas_by_power_of_two_choices():
+    """The busier of two drawn replicas is chosen only if it is drawn twice.
 
-    So the second goes elsewhere in 8 of 9 draws, and the third to the idle one in 5 of 9.
+    The first stream goes to any replica, the second to another one with probability 8/9, and
+    the third to the idle one with probability 5/9.
     """
     plays = 400
     found = Counter(spread(Random(seed)) for seed in range(plays))
@@ -147,7 +148,7 @@
 
 
 def spread(random: Random) -> tuple[int, ...]:
-    """Return how many of three streams each replica got, the most first."""
+    """Return the numbers of the three streams at the replicas, in descending order."""
     made = world_with_script("a a a", "m", script=telling(1.0, *events(2, 0.03)))
     made.parts.random = random
     play(made, *[RequestKind.STREAM] * 3, tokens=SHORT)
@@ -155,8 +156,8 @@
     return tuple(sorted(counts.values(), reverse=True))
 
 
-def test_a_replica_that_was_seen_to_be_slow_gets_no_more_calls_than_looks():
-    """Calls are placed by what they show themselves; it is looked at by one of a hundred."""
+def test_replica_that_is_known_to_be_slow_gets_only_probe_calls():
+    """Calls are placed by the measured pace; one call in a hundred probes regardless of it."""
     before, after = Counter[str](), Counter[str]()
     for seed in range(10):
         sent_before, sent = calls_until_seen_and_after(Random(seed))
@@ -167,7 +168,10 @@
 
 
 def calls_until_seen_and_after(random: Random) -> tuple[list[str], list[str]]:
-    """Return where calls of 10 s went until `p2` was seen to take twice the time, and since."""
+    """Return the replicas of calls over 10 s, before and after `p2` is measured as slow.
+
+    Slow means more than twice the time of the other replicas.
+    """
     work_s = 0.06
     made = world(
         "a a a",
@@ -193,7 +197,7 @@
     return names[: unseen[-1] + 1], names[unseen[-1] + 1 :]
 
 
-def test_a_call_that_waited_there_shows_nothing():
+def test_call_that_waited_at_replica_is_not_measured():
     waits = answering(200, 0.05, b"whole", load=LoadSample(8, 3, 8))
     made = world("a a", p1=[telling(1.0)], p2=[waits])
     play(made, RequestKind.REPEATABLE, rounds=10)
@@ -201,9 +205,9 @@
     assert made.book.paces.count == 1
 
 
-# One that tells to be quick is among two drawn of four in 7 of 16 draws.
+# A replica that reports to be fast is among the two drawn of four with probability 7/16.
 @pytest.mark.parametrize("lie,truth,least,most", [(0.25, 2.5, 0.0, 0.45), (8.0, 1.0, 0.005, 0.02)])
-def test_a_call_replica_that_lies_neither_draws_all_nor_ends_the_looks(lie, truth, least, most):
+def test_replica_with_wrong_report_gets_neither_all_nor_no_calls(lie, truth, least, most):
     sent: Counter[str] = Counter()
     for seed in range(10):
         sent.update(calls_beside_a_lie(Random(seed), lie, truth))
@@ -211,7 +215,7 @@
 
 
 def calls_beside_a_lie(random: Random, lie: float, truth: float) -> list[str]:
-    """Return where the calls of six callers went in 10 s; `p1` tells another pace than it has."""
+    """Return the replicas of six callers' calls in 10 s while `p1` reports a wrong pace."""
     works = {"p1": (lie, truth), **dict.fromkeys(("p2", "p3", "p4"), (1.0, 1.0))}
     scripts = {
         name: [answering(200, 0.06 * takes, b"whole", load=LoadSample(1, 0, 6, told))]
@@ -232,8 +236,8 @@
     return [one.replica for one in made.adapter.sent]
 
 
-def test_a_replica_that_hangs_does_not_look_idle():
-    """Its last figure ages; what was sent to it since is known all the same."""
+def test_hanging_replica_does_not_count_as_idle():
+    """Its last load sample becomes outdated, but the requests sent to it since still count."""
     hung: Counter[bool] = Counter()
     for seed in range(5):
         hung.update(name == "p1" for name in calls_beside_one_that_hangs(Random(seed)))
@@ -241,7 +245,7 @@
 
 
 def calls_beside_one_that_hangs(random: Random) -> list[str]:
-    """Return where calls go, 100 a second, in the second after `p1` has begun to hang."""
+    """Return the replicas of calls, 100 per second, in the second after `p1` starts to hang."""
     sent: list[str] = []
 
     async def script(call: SentRequest) -> FakeAnswer:
@@ -257,7 +261,7 @@
 
     async def call(after_s: float) -> None:
         await asyncio.sleep(after_s)
-        # Those that hang time out.
+        # Calls to the hanging replica time out.
         with contextlib.suppress(RequestFailedError):
             await made.run(RequestKind.ONCE, objective_s=0.3, timeout_s=3.0)
 
--- a/reachlink/requests/tests/test_paces_beside_callers.py
+++ b/reachlink/requests/tests/test_paces_beside_callers.py
@@ -1,4 +1,4 @@
-"""Callers that read slowly say nothing of the pace of the replica that serves them."""
+"""Callers that read slowly do not affect the measured pace of their replica."""
 
 import asyncio
 from dataclasses import replace
@@ -17,10 +17,11 @@
 from reachlink.testing import run_virtually
 from reachlink.upstreams import AnswerHead, LoadSample
 
-# Time between the events of a usual engine that the stream has for itself, in seconds.
+# Time between events of an engine with nominal pace and only one stream, in seconds.
 EVENT_S = 0.03
 EVENTS = 200
-# Events that connections hold between a replica and a caller that does not read.
+# Number of events that are buffered by the connections between a replica and a caller that
+# does not read.
 BUFFERED = 5
 
 
@@ -30,7 +31,7 @@
 
 
 class Steady(FakeAnswer):
-    """Makes an event each 30 ms, be it read or not, as long as its buffers hold them."""
+    """Produces an event every 30 ms until its buffers are full, even if none is read."""
 
     def __init__(self, head: AnswerHead) -> None:
         super().__init__(head, [])
@@ -52,7 +53,7 @@
 
 
 class SlowSink(FakeSink):
-    """Reads for some time, then not at all for some."""
+    """Alternates between reading and pausing."""
 
     def __init__(self, reads_s: float, rests_s: float) -> None:
         super().__init__()
@@ -67,7 +68,7 @@
 
 
 def lasting_after(reads_s: float, rests_s: float) -> float:
-    """Return what is believed to last at a replica after a stream to such a caller."""
+    """Return the estimated steady pace of a replica after a stream to a slow caller."""
     made = world("a", "m", m1=[steady])
     made.parts.clock = loop_time
     for number in range(16):
@@ -88,5 +89,5 @@
 
 
 @pytest.mark.parametrize("reads_s,rests_s", [(9.9, 0.0), (0.0, 0.5), (0.1, 1.0), (0.6, 0.4)])
-def test_who_rests_while_it_reads_makes_no_replica_slow_or_quick(reads_s, rests_s):
+def test_caller_that_pauses_while_reading_does_not_change_measured_pace(reads_s, rests_s):
     assert lasting_after(reads_s, rests_s) == 1.0
--- a/reachlink/requests/tests/test_paces_beside_room.py
+++ b/reachlink/requests/tests/test_paces_beside_room.py
@@ -1,4 +1,4 @@
-"""An answer that waits here for room says nothing of the pace of its replica."""
+"""An answer that waits for buffer space does not affect the measured pace of its replica."""
 
 import asyncio
 from dataclasses import replace
@@ -29,7 +29,7 @@
     request.caller_buffer.release()
 
 
-def test_an_answer_that_waited_for_room_shows_nothing():
+def test_answer_that_waited_for_buffer_space_is_not_measured():
     answer = b"a" * MB
     made = world(
         "a a",
@@ -42,7 +42,7 @@
 
     async def work() -> float:
         for _ in range(20):
-            # Room for short answers only, for a while.
+            # For a while, there is only space for short answers.
             budget.adjust(BufferKind.REQUEST, 5 * MB + MB // 2)
             calling = asyncio.create_task(call(made, budget))
             await asyncio.sleep(0.4)
--- a/reachlink/requests/tests/test_promise_load.py
+++ b/reachlink/requests/tests/test_promise_load.py
@@ -1,4 +1,4 @@
-"""Long answers of unknown length on crowded engines: what their promised memory does."""
+"""Effect of the expected memory of long answers of unknown length on nearly full engines."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,10 +9,11 @@
 from reachlink.requests._outlook import GenerationProgress
 from reachlink.scheduling import ReplicaOption, choose_replica
 
-# Engines as in the shifted deployment, those that take work at a time of trouble.
+# Engines of a deployment that still take work during a failure.
 REPLICAS, CAPACITY_TOKENS, SLOTS = 14, 21_878, 24
-# Chats: prompts of some 3,000 tokens; answers of 744 tokens in the mean with a long tail,
-# at most 1,756, made at 10 ms a token; callers' guesses are off by a factor of 3 and more.
+# Chats: prompts of about 3,000 tokens; answers with a mean of 744 tokens, a long tail and a
+# maximum of 1,756, generated at 10 ms per token. Callers' estimates are wrong by a factor of 3
+# and more.
 CHATS_PER_S, PROMPT_TOKENS, MEAN_TOKENS, MOST_TOKENS = 13.0, 3000, 744.0, 1756
 SPREAD, GUESS_SPREAD = 1.344, 1.2
 STEP_S, TOKENS_A_STEP = 0.1, 10
@@ -24,12 +25,12 @@
 
 @dataclass(eq=False)
 class Chat:
-    """One generation: what it will make, and what its caller guessed."""
+    """One generation with its actual length and its caller's estimate, in tokens."""
 
     length: int
     guess: int
     made: int = 0
-    # Whether it was preempted: its caller saw a pause of a prompt's reading and more.
+    # Whether it was preempted: its caller saw a pause, at least as long as the prompt takes.
     paused: bool = False
 
     @property
@@ -42,11 +43,11 @@
 
 @dataclass
 class Engines:
-    """Engines that run chats, and preempt the newest where their memory runs out."""
+    """Engines that run chats, and preempt the newest chat when their memory is exhausted."""
 
     promise: Promise
     seed: int
-    # Those whose callers got a whole answer without such a pause.
+    # Number of chats whose callers got a whole answer without such a pause.
     whole: int = 0
     asked: int = 0
     refused: int = 0
@@ -100,7 +101,7 @@
         chats[:] = [chat for chat in chats if chat.made < chat.length]
         preempted = []
         while sum(chat.outlook.used_tokens for chat in chats) > CAPACITY_TOKENS:
-            # Its prompt and all that it has made are read anew.
+            # Its prompt and its output so far have to be processed again.
             preempted.append(min(chats, key=lambda chat: chat.made))
             preempted[-1].paused = True
             chats.remove(preempted[-1])
@@ -118,7 +119,7 @@
 
 
 def shares(promise: Promise) -> tuple[float, float, float]:
-    """Return preempted, refused and whole chats as shares of those asked for."""
+    """Return the fractions of chats that were preempted, refused, and whole."""
     plays = [Engines(promise, seed).play() for seed in range(4)]
     asked = sum(p.asked for p in plays)
     return (
@@ -128,8 +129,8 @@
     )
 
 
-def test_more_callers_get_whole_answers_without_a_pause():
-    """Engines that are full: who outlives its guess is counted with what it will take yet."""
+def test_increasing_expected_memory_gives_more_whole_answers_without_pause():
+    """Full engines preempt generations if the memory of underestimated ones is not counted."""
     before, now = shares(fixed), shares(growing)
     assert before == pytest.approx((0.089, 0.083, 0.831), abs=0.005)
     assert now == pytest.approx((0.005, 0.102, 0.850), abs=0.005)
--- a/reachlink/requests/tests/test_replica_bytes.py
+++ b/reachlink/requests/tests/test_replica_bytes.py
@@ -1,4 +1,4 @@
-"""Long requests go where there is room for them, or are told that they did not run."""
+"""Long requests go to replicas with room for their bytes, or fail as not run."""
 
 import asyncio
 from dataclasses import replace
@@ -24,7 +24,7 @@
 
 
 class Held:
-    """Replicas that answer when told to."""
+    """Replicas that answer after `gate` is set."""
 
     def __init__(self) -> None:
         self.at: list[str] = []
@@ -43,7 +43,7 @@
 
 
 def patient(world: World, kind: RequestKind) -> CallerRequest:
-    """Return a request that a busy machine does not end."""
+    """Return a request with timeouts that are long enough for a busy machine."""
     request = world.request(kind)
     request.route = replace(request.route, timeout_s=60.0)
     request.caller_timeout_s = 60.0
@@ -64,7 +64,7 @@
             await asyncio.sleep(0.001)
 
 
-def test_the_next_one_goes_elsewhere_and_the_one_after_is_refused():
+def test_second_long_request_goes_to_other_replica_and_third_is_refused():
     async def work() -> None:
         held = Held()
         world = world_of(held)
@@ -84,7 +84,7 @@
     asyncio.run(work())
 
 
-def test_without_a_budget_any_number_goes_anywhere():
+def test_number_of_long_requests_is_unlimited_without_budget():
     async def work() -> None:
         held = Held()
         world = world_of(held, limited=False)
@@ -96,7 +96,7 @@
     asyncio.run(work())
 
 
-def test_an_answer_waits_for_room_without_fault_of_its_replica():
+def test_wait_of_answer_for_buffer_space_does_not_count_as_replica_failure():
     async def work() -> None:
         world = world_of(answering(200, b"a" * MB, b"b" * MB, length=2 * MB))
         budget = BufferBudget(6 * MB)
@@ -118,7 +118,7 @@
     asyncio.run(work())
 
 
-def test_an_answer_beyond_what_one_caller_may_hold_fails_at_once():
+def test_answer_beyond_limit_of_one_caller_fails_at_once():
     async def work() -> None:
         world = world_of(answering(200, b"a" * (3 * MB)))
         request = patient(world, RequestKind.ONCE)
@@ -130,7 +130,7 @@
     asyncio.run(work())
 
 
-def test_a_failure_that_is_kept_beside_the_next_answer_is_counted_with_it():
+def test_buffered_failure_counts_together_with_next_answer():
     async def work() -> None:
         asked: list[str] = []
 
--- a/reachlink/requests/tests/test_shared_load.py
+++ b/reachlink/requests/tests/test_shared_load.py
@@ -1,4 +1,4 @@
-"""The sum of what the others have is the sum, whatever comes in whatever order."""
+"""The total usage is correct for any sequence of updates, additions, removals and waits."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -27,7 +27,7 @@
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(st.lists(STEPS, max_size=20))
-def test_the_sum_is_that_of_what_each_told_last_and_not_too_long_ago(steps):
+def test_total_is_sum_of_latest_valid_update_of_each_instance(steps):
     load, now = PeerLoad(), 0.0
     told: dict[str, tuple[float, dict[str, int]]] = {}
     for step in steps:
--- a/reachlink/requests/tests/test_zones.py
+++ b/reachlink/requests/tests/test_zones.py
@@ -1,4 +1,4 @@
-"""Zones out of service: nothing goes there any more, and nobody there is cut."""
+"""Zones out of service get no new work, and running requests there are not interrupted."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
     assert {sent.replica for sent in made.adapter.sent} == {"p3"}
 
 
-def test_where_every_zone_is_out_of_service_callers_learn_it_at_once():
+def test_request_fails_at_once_if_all_zones_are_out_of_service():
     made = world_with_script("a b", "m", script=answering(200, stream(1, 3)))
     made.directory.take_out_of_service({"a", "b"}, 0.0)
 
@@ -42,11 +42,11 @@
     error, took_s = asyncio.run(scenario())
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
     assert error.retry_after_s == 2.0 and not made.adapter.sent
-    # The wait for room would be 0.22 s here.
+    # The request would wait 0.22 s for room.
     assert took_s < 0.1
 
 
-def test_what_runs_in_a_zone_that_is_taken_out_ends_there_and_is_not_copied_away():
+def test_running_generation_in_zone_taken_out_of_service_ends_there_without_copy():
     made = world_with_script("a b b", "m", script=answering(200, stream(1, 3), 0.4, stream(4, 5)))
     made.adapter.move_result = MOVED
 
@@ -61,7 +61,7 @@
     assert len(made.adapter.sent) == 1 and not made.adapter.moves
 
 
-def test_a_copy_in_a_zone_that_is_taken_out_is_freed_and_one_elsewhere_made():
+def test_copy_in_zone_taken_out_of_service_is_replaced_by_copy_in_other_zone():
     made = world_with_script("a b c", "m", script=answering(200, stream(1, 3), 1.5, stream(4, 5)))
     made.adapter.move_result = MOVED
 
@@ -79,8 +79,8 @@
     assert target not in later[later.index(next(t for t in later if t != target)) :]
 
 
-def test_a_generation_does_not_go_on_in_a_zone_that_was_taken_out():
-    """Its copy is there: going on would send a request to the zone."""
+def test_generation_does_not_resume_in_zone_taken_out_of_service():
+    """Its copy is there, but resuming would send a request to the zone."""
     made = world_with_script("a b", "m", script=answering(200, stream(1, 3), 0.3, BROKEN))
     made.engine = BACKUP_ENGINE
 
