--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -19,7 +19,7 @@
 from reachlink.upstreams import RelayAdapter, Replica
 
 
-async def admit_immediately(address: str, patience_s: float) -> None:
+async def admit_immediately(address: str, max_wait_s: float) -> None:
     """Grant a permit at once; used if no replica has a rate limit."""
 
 
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -52,8 +52,8 @@
     limit(setup, 0.05, sooner)
     asked: list[tuple[str, float]] = []
 
-    async def admit(address: str, patience_s: float) -> None:
-        asked.append((address, patience_s))
+    async def admit(address: str, max_wait_s: float) -> None:
+        asked.append((address, max_wait_s))
 
     setup.parts.admit = admit
     asyncio.run(setup.run(RequestKind.ONCE, objective_s=1.0))
@@ -69,7 +69,7 @@
     (only,) = setup.zones
     limit(setup, 1.9, only)
 
-    async def admit(address: str, patience_s: float) -> None:
+    async def admit(address: str, max_wait_s: float) -> None:
         setup.directory.mark_leaving(only, LeavingSource.ANSWER, setup.now())
 
     setup.parts.admit = admit
