--- a/reachlink/membership/__init__.py
+++ b/reachlink/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Own instances, the platform's list of upstream instances, and what spreads among them."""
+"""Membership of entry and upstream instances, and distribution of settings among them."""
 
 from reachlink.membership import _http_platform  # noqa: F401  (registers itself)
 from reachlink.membership._directory import LeavingSource, ReplicaDirectory
--- a/reachlink/membership/_damaged_page.py
+++ b/reachlink/membership/_damaged_page.py
@@ -1,4 +1,4 @@
-"""Reads what can be read of a page of the list that is no JSON as a whole; pure."""
+"""Recovers the entries of a list page that is not valid JSON; does no I/O."""
 
 import json
 import re
@@ -8,16 +8,17 @@
 
 
 def entries_of(page: bytes) -> list[bytes]:
-    """Return each object in a page that can be read by itself, the outermost ones.
+    """Return the outermost JSON objects in a page that can be decoded on their own.
 
-    What stands between them is passed over.
+    Bytes between them are skipped.
 
     Examples
     --------
     >>> entries_of(b'{"instances": [{"a": {"b": 1}}, {garbage, {"c": "}"}], "next_token": null}')
     [b'{"a": {"b": 1}}', b'{"c": "}"}']
     """
-    # Bytes that are no text keep their places, and are refused with their entry.
+    # Invalid UTF-8 is kept as surrogates, so that only the entry that contains it fails
+    # to decode.
     text = page.decode(errors="surrogateescape")
     found: list[bytes] = []
     at = text.find("{")
@@ -33,6 +34,6 @@
 
 
 def next_token_of(page: bytes) -> str | None:
-    """Return the token of the following page; None where there is none."""
+    """Return the token of the next page, or None if there is none."""
     found = _TOKEN.search(page.decode(errors="replace"))
     return found.group(1) or None if found is not None else None
--- a/reachlink/membership/_directory.py
+++ b/reachlink/membership/_directory.py
@@ -1,8 +1,8 @@
-"""Which upstream instances exist and may get new work; pure.
+"""Directory of upstream instances that exist and may get new work; does no I/O.
 
-An instance that leaves is noticed from whatever says so first: the platform's
-list, its load report, or its refusal. The platform's list lags, so its ``live``
-does not take back what was heard since.
+The first sign that an instance is leaving counts: the platform's list, its load
+report, a refusal, or another `LeavingSource`. The platform's list lags, so a ``live``
+state in it does not override a sign that is newer than the list.
 """
 
 from collections.abc import Callable, Iterable, KeysView, Mapping, Set
@@ -14,22 +14,22 @@
 from reachlink.pacing import PacingTracker
 from reachlink.upstreams import Replica
 
-# How long a mark as leaving counts that no list confirms, in seconds: after that it
-# was a mistake, or its instance has come back.
+# Time in seconds for which a leaving mark is valid without confirmation by the list. After
+# that, the mark was wrong or the instance has come back.
 UNCONFIRMED_MARK_S = 30.0
-# How long an instance is remembered that no list has any more, in seconds.
+# Time in seconds for which an instance is remembered after it left the list.
 GONE_KEPT_S = 60.0
-# How long an instance that another reader has found counts as listed though the
-# list read here lacks it, in seconds: that list may have been asked for before.
+# Time in seconds for which an instance reported by a peer counts as listed although the
+# list read here lacks it: that list may have been requested before the peer's.
 HEARD_KEPT_S = 1.0
-# How long the instances of a zone that is taken back into service count as cold whatever
-# the list says, in seconds: it trails by 0.8 s, and each of many readers asks for it each
-# 3 s, so that what turned cold just before is known to all by then.
+# Time in seconds for which the instances of a zone that returns to service count as cold,
+# whatever the list says. The list lags by 0.8 s and each of many readers polls it every
+# 3 s, so after this time all readers know of instances that became cold just before.
 COLD_ASSUMED_S = 4.0
 
 
 class LeavingSource(Enum):
-    """What told that an instance is leaving."""
+    """Source of the information that an instance is leaving."""
 
     LIST = "platform list"
     REPORT = "load report"
@@ -40,36 +40,36 @@
 
 
 _OWN_WORD = frozenset({LeavingSource.REFUSAL, LeavingSource.ANSWER})
-# What no other sign makes firmer.
+# Sources that are not replaced by a statement of the instance itself.
 _FIRM = frozenset({LeavingSource.ANSWER, LeavingSource.REPLACED})
 
 
 @dataclass(slots=True)
 class _Entry:
-    """What is known of one instance; times are monotonic, in seconds.
+    """State of one instance; times are monotonic, in seconds.
 
     Attributes
     ----------
     replica : Replica
         Name, upstream, zone and address.
     listed : InstanceState
-        Its state in the last list that had it.
+        State in the last list that contained the instance.
     marked : LeavingSource, optional
-        What told that it leaves, other than a list read here.
+        Source other than a list read here that reported the instance as leaving.
     marked_at : float
-        When it was marked.
+        Time at which ``marked`` was set.
     gone : bool
-        Whether the last list lacked it.
+        Whether the last list lacked the instance.
     gone_at : float
-        When a list lacked it first.
+        Time at which a list first lacked the instance.
     heard_at : float
-        When another reader's finding made it known.
+        Time at which a peer's report added the instance.
     noticed_at : float
-        When it was last found to leave, from whatever source.
+        Time at which the instance was last found to be leaving, from any source.
     cold_until : float
-        Until when it is cold, as the lists have said so far.
+        Latest end of the cold phase reported so far.
     born : int
-        When it started last, in Unix milliseconds by its own clock; 0 for unknown.
+        Last start time in Unix milliseconds by the instance's own clock; 0 if unknown.
     """
 
     replica: Replica
@@ -90,11 +90,12 @@
     Parameters
     ----------
     routes : mapping of str to str, optional
-        Addresses to use in place of listed ones.
+        Replacement addresses by listed address.
     unconfirmed_mark_s : float
-        How long a mark that no list confirms counts, in seconds.
+        Time in seconds for which a leaving mark is valid without confirmation by the list.
     pacing : PacingTracker, optional
-        What the instances ask of who sends to them; is told of those that start again.
+        Backoffs and rate limits requested by instances; is notified of restarts and of
+        reused addresses.
     """
 
     def __init__(
@@ -107,40 +108,40 @@
         self._unconfirmed_mark_s = unconfirmed_mark_s
         self._routes = dict(routes or {})
         self._entries: dict[str, _Entry] = {}
-        # The instance that an address was given to last.
+        # Name of the last instance at each address.
         self._names_at: dict[str, str] = {}
-        # Live replicas by upstream, kept between changes: they are asked for with
-        # every decision and change a few times an hour.
+        # Cache of live replicas by upstream: read with every placement decision, changed
+        # a few times an hour.
         self._live: dict[str, list[Replica]] = {}
         self._out_of_service: frozenset[str] = frozenset()
         self._on_started_again: Callable[[str], None] = lambda name: None
-        # When zones were taken back into service.
+        # Time at which each zone returned to service.
         self._back_at: dict[str, float] = {}
         self._is_whole = False
 
     @property
     def is_whole(self) -> bool:
-        """Whether a whole list was taken once: before, what is missing may be there."""
+        """Whether a complete list was read; before that, a missing instance may exist."""
         return self._is_whole
 
     @property
     def out_of_service(self) -> frozenset[str]:
-        """Availability zones whose instances get nothing more, by an operator's order."""
+        """Availability zones that an operator took out of service: no new work is sent there."""
         return self._out_of_service
 
     def take_out_of_service(self, zones: Set[str], now: float) -> None:
-        """Take the availability zones that are out of service from now on."""
+        """Set the availability zones that are out of service from now on."""
         self._back_at.update(dict.fromkeys(self._out_of_service - zones, now))
         self._out_of_service = frozenset(zones)
         self._live.clear()
 
     def update(self, listed: Iterable[ListedInstance], now: float) -> list[ListedInstance]:
-        """Take a new copy of the platform's list; return what is new in it.
+        """Apply a new copy of the platform's list and return what is new in it.
 
         Returns
         -------
         list of ListedInstance
-            Instances that were not known before, and those that leave or are cold by now.
+            Instances that were unknown before, have started to leave, or have become cold.
         """
         names: set[str] = set()
         news: list[ListedInstance] = []
@@ -155,10 +156,10 @@
         return news
 
     def hear(self, listed: Iterable[ListedInstance], now: float) -> None:
-        """Take what another reader of the list has found new.
+        """Apply what a peer found new in its copy of the list.
 
-        Its copy may be older than the one here: it makes instances known and
-        says that they leave, but takes nothing back.
+        The peer's copy may be older than the one here. It adds instances and marks
+        instances as leaving or cold, but clears no mark.
         """
         for instance in listed:
             entry = self._entries.get(instance.name)
@@ -172,7 +173,7 @@
                 self.mark_leaving(instance.name, LeavingSource.LIST, now)
 
     def know(self, name: str, upstream: str, zone: str, address: str) -> Replica:
-        """Return an instance that another reader of the list has named, noting it if new."""
+        """Return an instance that a peer named; add it if it is unknown."""
         entry = self._entries.get(name)
         if entry is None:
             listed = ListedInstance(name, upstream, zone, address)
@@ -182,13 +183,13 @@
         return entry.replica
 
     def mark_leaving(self, name: str, source: LeavingSource, now: float) -> bool:
-        """Note that an instance is leaving; return whether that is news."""
+        """Mark an instance as leaving; return whether it was not marked before."""
         entry = self._entries.get(name)
         if entry is None:
             return False
         if entry.marked is not None:
             if source in _OWN_WORD and entry.marked not in _FIRM:
-                # What was a guess so far is its own word from now on.
+                # A statement of the instance itself replaces an inferred mark.
                 entry.marked = source
             return False
         entry.marked, entry.marked_at = source, now
@@ -197,10 +198,11 @@
         return True
 
     def mark_gone(self, name: str, now: float) -> bool:
-        """Note that another instance has an instance's address; return whether that is news.
+        """Mark an instance as replaced at its address; return whether it was not marked before.
 
-        No list takes it back by itself: one that lags has the name for some seconds. Only
-        a new start under the name does, or a list that has it again after one that had not.
+        A list that contains the name does not clear the mark, since a lagging list contains
+        it for some seconds. The mark is cleared by a restart under the name, or by a list
+        that contains the name after a list that lacked it.
         """
         entry = self._entries.get(name)
         if entry is None or entry.marked is LeavingSource.REPLACED:
@@ -211,14 +213,14 @@
         return True
 
     def note_born(self, name: str, born: int, now: float) -> bool:
-        """Take when an instance says that it started; return whether it has started again.
+        """Record the start time of an instance; return whether the instance has restarted.
 
         Parameters
         ----------
         name : str
-            The instance.
+            Name of the instance.
         born : int
-            Unix milliseconds by its own clock; 0 for unknown.
+            Start time in Unix milliseconds by the instance's own clock; 0 if unknown.
         now : float
             Monotonic time in seconds.
         """
@@ -228,7 +230,7 @@
         started_again = entry.born > 0
         entry.born = born
         if started_again:
-            # What said that it leaves, or is replaced, was said of its life before.
+            # A mark as leaving or replaced referred to the process before the restart.
             entry.marked = None
             entry.noticed_at = float("-inf")
             entry.listed = InstanceState.LIVE
@@ -238,23 +240,23 @@
         return started_again
 
     def born(self, name: str) -> int:
-        """Return when an instance started last, in Unix milliseconds; 0 for unknown."""
+        """Return the last start time of an instance in Unix milliseconds; 0 if unknown."""
         entry = self._entries.get(name)
         return entry.born if entry is not None else 0
 
     def on_started_again(self, listener: Callable[[str], None]) -> None:
-        """Have something called with the name of each instance that has started again."""
+        """Set the listener that is called with the name of each instance that restarts."""
         self._on_started_again = listener
 
     def leaving(self, upstream: str, since: float) -> list[str]:
-        """Return the instances of an upstream that were found to leave since then.
+        """Return the instances of an upstream that were found to be leaving since a time.
 
         Parameters
         ----------
         upstream : str
-            The upstream.
+            Name of the upstream.
         since : float
-            Monotonic time in seconds.
+            Earliest time of the finding; monotonic, in seconds.
         """
         return [
             name
@@ -263,20 +265,20 @@
         ]
 
     def may_get_work(self, name: str) -> bool:
-        """Return whether an instance may get new work, to be asked at dispatch."""
+        """Return whether an instance may get new work; checked at dispatch."""
         entry = self._entries.get(name)
         return entry is not None and _stays(entry) and self._in_service(entry.replica)
 
     def stays(self, name: str) -> bool:
-        """Return whether an instance is there and not known to leave.
+        """Return whether an instance exists and is not known to be leaving.
 
-        Work that runs there may go on, also where its zone is out of service.
+        Work that already runs there may continue, even if its zone is out of service.
         """
         entry = self._entries.get(name)
         return entry is not None and _stays(entry)
 
     def cold_s(self, name: str, now: float) -> float:
-        """Return how long an instance is still cold, in seconds; 0 for a warm one."""
+        """Return the remaining time in seconds for which an instance is cold; 0 if warm."""
         entry = self._entries.get(name)
         if entry is None:
             return 0.0
@@ -284,7 +286,7 @@
         return max(0.0, entry.cold_until - now, back_at + COLD_ASSUMED_S - now)
 
     def note_cold(self, name: str, cold_s: float, now: float) -> bool:
-        """Note that an instance is cold for some seconds; return whether that is news."""
+        """Record that an instance is cold for some seconds; return whether it was warm before."""
         entry = self._entries.get(name)
         return entry is not None and _note_cold(entry, cold_s, now)
 
@@ -297,7 +299,7 @@
         return found
 
     def staying(self, upstream: str) -> list[Replica]:
-        """Return the instances of an upstream that do not leave, in service or not."""
+        """Return the instances of an upstream that are not leaving, in service or not."""
         return [
             entry.replica
             for entry in self._entries.values()
@@ -305,28 +307,28 @@
         ]
 
     def name_at(self, address: str) -> str:
-        """Return the instance that has an address, as far as is known; empty for none."""
+        """Return the name of the last known instance at an address; empty if there is none."""
         return self._names_at.get(address, "")
 
     def find(self, name: str) -> Replica | None:
-        """Return an instance by name, leaving or not."""
+        """Return an instance by name, whether it is leaving or not."""
         entry = self._entries.get(name)
         return entry.replica if entry else None
 
     @property
     def names(self) -> KeysView[str]:
-        """Names of all instances that are remembered, also those gone for a while."""
+        """Names of all remembered instances, including those that left the list recently."""
         return self._entries.keys()
 
     def all(self) -> list[Replica]:
-        """Return every instance that the platform's latest list has."""
+        """Return every instance in the platform's latest list."""
         return [entry.replica for entry in self._entries.values() if not entry.gone]
 
     def _in_service(self, replica: Replica) -> bool:
         return replica.availability_zone not in self._out_of_service
 
     def _update_one(self, instance: ListedInstance, now: float) -> bool:
-        """Take one line of the list; return whether it is news to the other instances."""
+        """Apply one entry of the list; return whether peers need to be told of it."""
         address = self._routes.get(instance.address, instance.address)
         replica = Replica(instance.name, instance.upstream, instance.availability_zone, address)
         entry = self._entries.get(instance.name)
@@ -334,12 +336,12 @@
             entry = self._entries[instance.name] = _Entry(replica, instance.state)
             self._names_at[address] = instance.name
             entry.born = instance.born
-            # What the address asked for before was asked for by another one.
+            # Backoffs and limits at this address were requested by another instance.
             self._pacing.on_address_reused(address)
             _note_cold(entry, instance.cold_s, now)
             return True
         if 0 < instance.born < entry.born:
-            # Told of its life before, by a list or an instance that is behind.
+            # Refers to the process before the restart: the list or the peer lags.
             return False
         self.note_born(instance.name, instance.born, now)
         turned_cold = _note_cold(entry, instance.cold_s, now)
@@ -356,7 +358,7 @@
         return left or turned_cold
 
     def _note_absence(self, name: str, entry: _Entry, gone: bool, now: float) -> None:
-        """Take whether the list lacks an instance; forget it after a while."""
+        """Record whether the list lacks an instance; forget the instance after `GONE_KEPT_S`."""
         if gone and now - entry.heard_at < HEARD_KEPT_S:
             return
         if gone and not entry.gone:
@@ -371,20 +373,22 @@
 
 
 def _came_back(entry: _Entry) -> bool:
-    """Return whether the last list had an instance leave, or had it not."""
+    """Return whether the previous list showed an instance as leaving or lacked it."""
     return entry.gone or entry.listed is InstanceState.LEAVING
 
 
 def _marked_for_good(entry: _Entry) -> bool:
-    """Return whether only a new start takes back that an instance leaves.
+    """Return whether only a restart clears the leaving mark of an instance.
 
-    Where it does not say when it started, a list that has it again after one that had it
-    leave, or had it not, tells of a new start. A mark by its own word must not end before,
-    as one by a closing connection does: it would get new requests in the life in which it
-    has said that it leaves (test_replicas_in_backoff).
+    For an instance without a start time, a list that shows it as live again after a list
+    that showed it as leaving or lacked it counts as a restart. A mark that the instance
+    itself caused must not expire earlier, unlike a mark from a closing connection:
+    otherwise a process that has announced its shutdown gets new requests
+    (test_replicas_in_backoff).
     """
     if entry.marked is LeavingSource.REFUSAL:
-        # Names of who refuses so are kept over starts: without their times nobody can tell.
+        # Instances that refuse this way keep their names over restarts: without start times,
+        # a restart cannot be detected.
         return entry.born > 0
     if entry.marked is LeavingSource.ANSWER:
         return entry.born > 0 or not _came_back(entry)
@@ -392,9 +396,9 @@
 
 
 def _note_cold(entry: _Entry, cold_s: float, now: float) -> bool:
-    """Note how long an instance is cold; return whether it was taken for warm before."""
+    """Record how long an instance is cold; return whether it was considered warm before."""
     was_cold = entry.cold_until > now
-    # Never sooner than a list before said: one that trails may not know of it yet.
+    # Never shortens the cold phase: a lagging list may not show it yet.
     if cold_s > 0.0:
         entry.cold_until = max(entry.cold_until, now + cold_s)
     return entry.cold_until > now and not was_cold
--- a/reachlink/membership/_http_platform.py
+++ b/reachlink/membership/_http_platform.py
@@ -1,4 +1,4 @@
-"""Platform list in JSON over HTTP."""
+"""Adapter for a platform list that is served as JSON over HTTP."""
 
 import aiohttp
 
@@ -16,7 +16,7 @@
     Parameters
     ----------
     url : str
-        Where the list is.
+        URL of the list.
     """
 
     def __init__(self, url: str) -> None:
@@ -25,7 +25,7 @@
         self._pages = PageReader(ListedInstance)
 
     async def instances(self) -> list[ListedInstance]:
-        """Return the list as the platform shows it now."""
+        """Return the platform's current list."""
         if self._session is None:
             self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=TIMEOUT_S))
         try:
@@ -36,6 +36,6 @@
             raise PlatformUnavailableError(f"{self._url}: {error!r}") from error
 
     async def close(self) -> None:
-        """Close connections."""
+        """Close the HTTP session."""
         if self._session is not None:
             await self._session.close()
--- a/reachlink/membership/_list_page.py
+++ b/reachlink/membership/_list_page.py
@@ -1,7 +1,7 @@
-"""Reads a page of a list of instances, each entry by itself.
+"""Reads a page of a list of instances, decoding each entry separately.
 
-An entry may come from another writer: it lacks fields, holds other types, or can't be read.
-It names no instance; the others hold.
+Other programs may write entries that lack fields, hold other types or are not valid JSON.
+Such entries are skipped and logged; the remaining entries are used.
 """
 
 import zlib
@@ -15,7 +15,8 @@
 from reachlink.membership.exceptions import PlatformUnavailableError
 from reachlink.telemetry import get_logger
 
-# Unreadable entries that are remembered as logged, and what a line shows of one, in bytes.
+# Maximum number of unreadable entries remembered as logged, and maximum number of bytes of
+# an entry shown in a log line.
 MAX_LOGGED = 256
 SHOWN_BYTES = 200
 
@@ -24,7 +25,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ListPage(Generic[T]):
-    """The entries of a page that could be read, and the token of the following page."""
+    """Readable entries of a page, and the token of the next page or None."""
 
     entries: list[T]
     next_token: str | None
@@ -36,28 +37,28 @@
 
 
 class PageReader(Generic[T]):
-    """Reads pages.
+    """Reads pages whose entries have one type.
 
     Parameters
     ----------
     entry : type
-        What an entry must be.
+        Type to decode each entry as.
     """
 
     def __init__(self, entry: type[T]) -> None:
         self._decode_page = msgspec.json.Decoder(_RawPage).decode
         self._decode_entry = msgspec.json.Decoder(entry).decode
-        # Digests of what could not be read and was logged.
+        # Checksums of unreadable entries and pages that were logged.
         self._logged: set[int] = set()
         self._log: Any = get_logger()
 
     def read(self, raw: bytes) -> ListPage[T]:
-        """Return what can be read of a page.
+        """Return the readable entries of a page.
 
         Raises
         ------
         PlatformUnavailableError
-            If nothing can.
+            If the page is not valid JSON and no entry can be recovered from it.
         """
         try:
             page = self._decode_page(raw)
@@ -77,7 +78,7 @@
                 self._log_once(bytes(raw), str(error))
 
     def _log_once(self, raw: bytes, reason: str) -> None:
-        """Log what can't be read once: lists are read every few seconds."""
+        """Log an unreadable entry only once, since lists are read every few seconds."""
         key = zlib.crc32(raw)
         if key in self._logged:
             return
--- a/reachlink/membership/_platform.py
+++ b/reachlink/membership/_platform.py
@@ -1,4 +1,4 @@
-"""Interface to the platform's list of live and leaving instances."""
+"""Interface for adapters to the platform's list of live and leaving instances."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
@@ -22,14 +22,14 @@
     Attributes
     ----------
     name, upstream, availability_zone, address : str
-        Who it is and where.
+        Name, upstream, zone and address of the instance.
     state : InstanceState
-        Whether it leaves.
+        Whether the instance is live or leaving.
     cold_s : float
-        How long it is still cold, in seconds.
+        Remaining time in seconds for which the instance is cold.
     born : int
-        When it started, in Unix milliseconds by its own clock; 0 where that is not
-        told. One that starts again under its name holds nothing of before.
+        Start time in Unix milliseconds by the instance's own clock; 0 if not reported.
+        A restart under the same name loses the instance's memory.
     """
 
     name: str
@@ -42,21 +42,21 @@
 
 
 class PlatformAdapter(ABC):
-    """Reads one kind of platform list."""
+    """Reads the list of one kind of platform."""
 
     @abstractmethod
     async def instances(self) -> list[ListedInstance]:
-        """Return the list as the platform shows it now, which may lag.
+        """Return the platform's current list, which may lag behind the instances.
 
         Raises
         ------
         PlatformUnavailableError
-            If it cannot be read.
+            If the list cannot be read.
         """
 
     @abstractmethod
     async def close(self) -> None:
-        """Close connections."""
+        """Close the adapter's connections."""
 
 
 PLATFORMS: Registry[Any] = Registry("platform adapter")
--- a/reachlink/membership/_roster.py
+++ b/reachlink/membership/_roster.py
@@ -1,4 +1,4 @@
-"""Which entry instances exist, as the control instances learn it from those that watch; pure."""
+"""Roster of entry instances, kept by control instances from watch requests; does no I/O."""
 
 import hashlib
 from collections.abc import Iterable
@@ -9,31 +9,33 @@
 
 from reachlink.membership._spreading import InstanceRecord
 
-# An instance that no control instance has heard of for this long is left out,
-# in seconds: instances ask again about once a second.
+# Time in seconds without a watch request at any control instance after which an instance
+# counts as absent. Instances repeat their watch requests about once a second.
 ABSENT_S = 4.0
-# The same where the control instance that told of it is silent itself, in seconds:
-# longer than most cuts. Its watchers are beyond the cut more likely than gone; if it is
-# gone, they ask another one within seconds. Without this the instances of a zone that is
-# cut off would make a fleet of their own, and take the zones for joined.
+# The same timeout in seconds if the control instance that reported the entry instance is
+# silent itself; longer than most network partitions. Its watchers are more likely behind a
+# partition than stopped: if only the control instance has stopped, they watch another one
+# within seconds. With the shorter timeout, the instances of a zone that is cut off would
+# form a fleet of their own and treat the zones as connected.
 TELLER_SILENT_KEPT_S = 30.0
-# How long who coordinates is not worked out anew, in seconds, while nobody new comes:
-# every watch asks, dozens a second of a control instance before some hundred instances.
+# Time in seconds for which the list of coordinators is cached while no new instance
+# appears: every watch request reads it, dozens a second at a control instance that serves
+# a hundred instances.
 SUMMARY_KEPT_S = 0.25
 
 
 @dataclass(slots=True, frozen=True)
 class CoordinationLimits:
-    """How many entry instances coordinate placement.
+    """Limits on the number of entry instances that coordinate placement.
 
     Attributes
     ----------
     all_up_to : int
-        Up to this many instances are all coordinators: each tells all others its
-        load, which at 24 is 24 notes of 0.1 to 1 KB a second and more when busy.
+        Number of instances up to which all are coordinators. Each one sends its load to
+        all others: with 24 instances, 24 updates of 0.1 to 1 KB a second, more when busy.
     per_zone : int
-        Coordinators of a zone where there are more instances than that: by
-        default one, and one more that is there at once when the first is lost.
+        Coordinators in each zone if there are more instances than ``all_up_to``. The
+        default of two leaves one in place when the other is lost.
     """
 
     all_up_to: Annotated[int, msgspec.Meta(ge=0)] = 24
@@ -42,7 +44,7 @@
 
 @dataclass(slots=True)
 class _Heard:
-    """An instance, when it was heard of, and which control instance told of it."""
+    """Last report of an instance: its time and the control instance that sent it."""
 
     record: InstanceRecord
     at: float
@@ -51,7 +53,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Summary:
-    """The coordinators and the number of all instances, as of a monotonic time."""
+    """Coordinators and number of all instances at a monotonic time in seconds."""
 
     coordinators: list[InstanceRecord]
     count: int
@@ -64,7 +66,7 @@
     Parameters
     ----------
     limits : CoordinationLimits, optional
-        How many of them coordinate.
+        Limits on the number of coordinators.
 
     Examples
     --------
@@ -79,21 +81,22 @@
     def __init__(self, limits: CoordinationLimits | None = None) -> None:
         self._limits = limits or CoordinationLimits()
         self._heard: dict[str, _Heard] = {}
-        # When each control instance told something last, in monotonic seconds.
+        # Time of the last report of each control instance; monotonic, in seconds.
         self._told_at: dict[str, float] = {}
         self._summary: _Summary | None = None
 
     def note(self, records: Iterable[InstanceRecord], now: float, teller: str = "") -> None:
-        """Take instances that were heard of just now.
+        """Record instances that were reported just now.
 
         Parameters
         ----------
         records : iterable of InstanceRecord
-            The instances.
+            Instances that exist.
         now : float
             Monotonic time in seconds.
         teller : str
-            Control instance that told of them; empty where they have asked here.
+            Name of the control instance that reported them; empty if they sent watch
+            requests to this one.
         """
         self._told_at[teller] = now
         for record in records:
@@ -102,7 +105,7 @@
             self._heard[record.name] = _Heard(record, now, teller)
 
     def present(self, now: float) -> list[InstanceRecord]:
-        """Return the instances that exist, in order of name."""
+        """Return the instances that are present, sorted by name."""
         for name in [n for n, h in self._heard.items() if self._is_absent(h, now)]:
             del self._heard[name]
         return [self._heard[name].record for name in sorted(self._heard)]
@@ -113,15 +116,16 @@
         return now - heard.at > kept_s
 
     def coordinators(self, now: float) -> list[InstanceRecord]:
-        """Return the instances that coordinate placement, in order of name.
+        """Return the instances that coordinate placement, sorted by name.
 
-        A few instances all do. Of many, those with the highest hash of their names
-        do in each zone, so that one that comes or goes changes at most one of them.
+        Up to `CoordinationLimits.all_up_to` instances all coordinate. Of more, those with the
+        highest hashes of their names in each zone do (rendezvous hashing), so that an
+        instance that joins or leaves changes at most one coordinator.
         """
         return self._summarize(now).coordinators
 
     def count(self, now: float) -> int:
-        """Return how many instances there are."""
+        """Return the number of instances that are present."""
         return self._summarize(now).count
 
     def _summarize(self, now: float) -> "_Summary":
--- a/reachlink/membership/_spreading.py
+++ b/reachlink/membership/_spreading.py
@@ -1,6 +1,6 @@
-"""Settings as daemons hold and pass them on; pure.
+"""Replication of settings from control instances to daemons; does no I/O.
 
-A holder's revision only grows, whatever arrives.
+The revision of a `SettingsHolder` never decreases, whatever messages arrive.
 """
 
 from collections import deque
@@ -13,36 +13,37 @@
 from reachlink.settings import ROUTING_PATH, Change, SettingsTree
 
 REMEMBERED_DELTAS = 256
-# What is smaller goes with an answer as it is, in bytes: a change of one route is.
+# Size in bytes up to which content is sent inside the answer instead of in pieces. A change
+# of one route is smaller.
 INLINE_BYTES = 1 << 10
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """What made a revision: changes of settings, or a patch of the routing table."""
+    """Difference between two revisions: changes of settings or a patch of the routing table."""
 
     revision: int
     changes: list[Change] = []
     table: TablePatch | None = None
 
     def described(self) -> list[Change]:
-        """Return the changes, a patched table by its number."""
+        """Return the changes, with a patched table represented by its number."""
         if self.table is None:
             return self.changes
         return [*self.changes, Change(ROUTING_PATH, f"number {self.table.number}")]
 
 
 def remember_delta(deltas: deque[Delta], delta: Delta, table_size: int = 0) -> None:
-    """Add a delta to those remembered, in order of revision.
+    """Append a delta to the remembered ones, which are in order of revision.
 
     Parameters
     ----------
     deltas : deque of Delta
-        Those remembered; the oldest are dropped as long as all that they hold of
-        routing tables is larger than the table itself, which then takes less to send.
+        Remembered deltas. The oldest are dropped while their routing table content
+        together is larger than the table itself, which is then cheaper to send.
     delta : Delta
-        The newest.
+        Newest delta.
     table_size : int
-        Size of the routing table in force, in characters.
+        Size of the current routing table, in characters.
     """
     deltas.append(delta)
     held = sum(_table_size(kept) for kept in deltas)
@@ -51,7 +52,7 @@
 
 
 def deltas_after(deltas: Iterable[Delta], revision: int) -> list[Delta] | None:
-    """Return the deltas that lead on from a revision, or None if it is too old."""
+    """Return the deltas that follow a revision, or None if the revision is too old."""
     wanted = [delta for delta in deltas if delta.revision > revision]
     if not wanted or wanted[0].revision != revision + 1:
         return None
@@ -59,12 +60,12 @@
 
 
 def apply_deltas(tree: SettingsTree, deltas: Iterable[Delta]) -> SettingsTree:
-    """Return settings with deltas that follow their revision.
+    """Return settings with the given deltas applied; these must follow their revision.
 
     Raises
     ------
     PatchMismatchError
-        If a patch was made for another table than the one held.
+        If a patch was made for a different routing table.
     """
     deltas = list(deltas)
     changes = [change for delta in deltas for change in delta.changes]
@@ -77,18 +78,21 @@
 
 
 def table_size(tree: SettingsTree) -> int:
-    """Return the size of the routing table in force, in characters."""
+    """Return the size of the current routing table, in characters."""
     return len(tree.routing.document) if tree.routing else 0
 
 
 def _first_table(changes: Iterable[Change]) -> PublishedTable | None:
-    """Return the table that stands in changes whole: only the first of all does."""
+    """Return the complete routing table in the changes, or None.
+
+    Only the first table of all is sent complete; later ones are sent as patches.
+    """
     whole = [change.value for change in changes if change.path == ROUTING_PATH]
     return msgspec.convert(whole[-1], PublishedTable) if whole else None
 
 
 def _table_size(delta: Delta) -> int:
-    """Return what a delta holds of routing tables, in characters."""
+    """Return the size of the routing table content of a delta, in characters."""
     if delta.table is not None:
         return delta.table.size
     whole = [c.value for c in delta.changes if c.path == ROUTING_PATH and c.value is not None]
@@ -96,7 +100,7 @@
 
 
 class InstanceRecord(msgspec.Struct, frozen=True, array_like=True):
-    """One of the system's own instances, with the address of its bus."""
+    """One instance of the system itself, with the address of its message bus."""
 
     name: str
     address: str
@@ -104,16 +108,16 @@
 
 
 class SettingsAnswer(msgspec.Struct, tag="settings", frozen=True):
-    """Settings at `revision`: `deltas` from the asker's revision, or whole `values`.
+    """Settings at `revision`: `deltas` from the requester's revision, or all `values`.
 
-    What is large comes as `piece`, a part of another answer that holds nothing but
-    `deltas` or `values`; the asker asks on until it has all of them.
+    Large content is sent as `piece`, a part of another encoded answer that holds only
+    `deltas` or `values`; the requester repeats its request until it has all pieces.
 
-    `fresh` tells whether the answer covers everything accepted before the
-    request, and `stale` that the answering instance has lost its leader.
-    `controls` are the control instances that it knows, `coordinators` the entry
-    instances that coordinate placement, the asker itself if it is one, and
-    `instances` the number of all entry instances.
+    `fresh` is true if the answer covers everything accepted before the request, and
+    `stale` if the answering instance has lost its leader. `controls` are the known
+    control instances, `coordinators` the entry instances that coordinate placement
+    (including the requester if it is one), and `instances` is the number of all entry
+    instances.
     """
 
     revision: int
@@ -132,7 +136,7 @@
 
 
 class Holding(msgspec.Struct, frozen=True, array_like=True):
-    """What an asker has: a revision, whether only a whole will do, and pieces of a content."""
+    """State of a requester: revision, whether it needs all values, and transfer progress."""
 
     revision: int
     needs_whole: bool = False
@@ -140,7 +144,7 @@
 
     @property
     def base(self) -> int:
-        """Revision that an answer may build on; below 0 for none."""
+        """Revision that deltas may start from; negative if the requester needs all values."""
         return -1 if self.needs_whole else self.revision
 
 
@@ -150,19 +154,19 @@
     holding: Holding,
     content_since: Callable[[int], SettingsAnswer],
 ) -> SettingsAnswer:
-    """Return an answer that takes one short message, whatever it leads to.
+    """Return an answer of bounded size, with the first or next piece of large content.
 
     Parameters
     ----------
     outbox : Outbox
-        Keeps what the asker will fetch on.
+        Stores content whose further pieces the requester will fetch.
     head : SettingsAnswer
-        The answer without deltas or values.
+        Answer without deltas or values.
     holding : Holding
-        What the asker has.
+        State of the requester.
     content_since : callable
-        Takes a revision and returns what leads on from it: an answer with deltas,
-        or values if the revision is below 0 or too old.
+        Takes a revision and returns an answer with the deltas that follow it, or with
+        all values if the revision is negative or too old.
     """
     begun = outbox.resume(holding.progress)
     if begun is not None:
@@ -177,13 +181,13 @@
         if len(raw) <= INLINE_BYTES:
             return msgspec.structs.replace(head, deltas=content.deltas, values=content.values)
         first = outbox.keep(key, raw)
-    # Another instance may have given the pieces that the asker has: the same content
-    # has the same name everywhere.
+    # The requester's pieces may come from another instance: the same content has the
+    # same name at all instances.
     return msgspec.structs.replace(head, piece=outbox.resume(holding.progress) or first)
 
 
 def unpack_answer(inbox: Inbox, answer: SettingsAnswer) -> SettingsAnswer | None:
-    """Return deltas or values of an answer, or None while pieces of them are missing."""
+    """Return the answer with its deltas or values, or None while pieces are missing."""
     if answer.piece is None:
         return answer
     raw = inbox.take(answer.piece)
@@ -191,12 +195,12 @@
 
 
 def whole_answer(tree: SettingsTree, fresh: bool = False) -> SettingsAnswer:
-    """Return all settings, in an order that does not depend on how they came about."""
+    """Return all settings sorted by path, so that equal settings encode to equal bytes."""
     return SettingsAnswer(tree.revision, fresh, values=dict(sorted(tree.values.items())))
 
 
 class SettingsHolder:
-    """The newest settings that a daemon has."""
+    """Newest settings known to a daemon."""
 
     def __init__(self) -> None:
         self._tree = SettingsTree()
@@ -205,19 +209,18 @@
 
     @property
     def misfit(self) -> str:
-        """Why a delta did not fit what is held, so that only a whole will do, or ``""``."""
+        """Reason why a delta did not apply, so that all values are needed, or ``""``."""
         return self._misfit
 
     @property
     def tree(self) -> SettingsTree:
-        """Settings in force here."""
+        """Current settings of this daemon."""
         return self._tree
 
     def take(self, answer: SettingsAnswer) -> bool:
-        """Take newer settings; return whether the revision grew.
+        """Apply newer settings; return whether the revision increased.
 
-        Older ones, and deltas that do not follow the present revision, change
-        nothing.
+        Older settings, and deltas that do not follow the current revision, are ignored.
         """
         if answer.revision <= self._tree.revision:
             return False
@@ -233,7 +236,7 @@
         try:
             self._tree = apply_deltas(self._tree, fitting)
         except PatchMismatchError as error:
-            # Logged by who asked: this module does no output.
+            # Logged by the caller: this module does no I/O.
             self._misfit = str(error)
             return False
         for delta in fitting:
@@ -241,7 +244,7 @@
         return True
 
     def since(self, revision: int, fresh: bool = False) -> SettingsAnswer:
-        """Return what leads from a revision to the one held here."""
+        """Return an answer that leads from a revision to the current one."""
         newest = self._tree.revision
         if newest <= revision:
             return SettingsAnswer(newest, fresh)
--- a/reachlink/membership/_transfers.py
+++ b/reachlink/membership/_transfers.py
@@ -1,9 +1,9 @@
-"""Contents on their way in pieces; pure.
+"""Transfer of large content in pieces; does no I/O.
 
-An instance behind a small link asks for one piece after the other and keeps what
-has come. Whole tables in one answer never arrived once they took longer than the
-answer was waited for: 1.05 MB take 1.7 s at 5 Mbit/s and were given up after 1.2 s,
-again and again, with every link full (65 instances, one recorded day).
+An instance behind a slow link requests one piece after the other and keeps those that
+have arrived. A routing table in a single answer never arrives if its transfer takes
+longer than the timeout of the request: 1.05 MB take 1.7 s at 5 Mbit/s, and with a timeout
+of 1.2 s the requests of 65 instances failed repeatedly and saturated every link.
 """
 
 import hashlib
@@ -13,20 +13,22 @@
 
 import msgspec
 
-# One piece holds up the streams of an instance for 26 ms at 5 Mbit/s.
+# Size of a piece in bytes. One piece blocks the streams of an instance for 26 ms at
+# 5 Mbit/s.
 PIECE_BYTES = 16 << 10
-# Contents that are kept for those who fetch them: each is what leads from one
-# revision to another, and instances differ by a few changes. Eight whole tables of
-# 10,000 routes are some 2 MB.
+# Number of contents kept for further requests. Each one leads from one revision to
+# another, and the revisions of instances differ by a few changes. Eight complete tables
+# of 10,000 routes take about 2 MB.
 KEPT_CONTENTS = 8
-# Higher levels hold the loop up for longer and leave hardly less.
+# Compression level of zlib. Higher levels block the event loop for longer and compress
+# hardly better.
 COMPRESSION = 1
-# Length of a content's name, in bytes: enough that no two share it by chance.
+# Digest length in bytes of a content's name, long enough to make collisions negligible.
 NAME_BYTES = 16
 
 
 class Progress(msgspec.Struct, frozen=True, array_like=True):
-    """How much of a content has come: its name, and the bytes held."""
+    """Progress of a transfer: name of the content and number of bytes received."""
 
     content: str = ""
     held: int = 0
@@ -38,13 +40,13 @@
     Attributes
     ----------
     content : str
-        Name of the content: a digest of it.
+        Name of the content, its digest.
     offset : int
-        Where the piece begins, in bytes.
+        Offset of the piece in the compressed content, in bytes.
     size : int
-        Size of the whole content, in bytes.
+        Size of the complete compressed content, in bytes.
     data : bytes
-        The piece.
+        Bytes of the piece.
     """
 
     content: str
@@ -54,27 +56,27 @@
 
 
 class Outbox:
-    """Contents that others fetch, each compressed once for all who want the same."""
+    """Contents that other instances fetch, each compressed once for all of them."""
 
     def __init__(self) -> None:
         self._contents: OrderedDict[str, bytes] = OrderedDict()
         self._names: dict[Hashable, str] = {}
 
     def resume(self, progress: Progress) -> Piece | None:
-        """Return the next piece of a content, or None if it is not known here.
+        """Return the next piece of a content, or None if the content is not stored here.
 
-        What somebody has begun to fetch goes on though there is newer by now: under
-        changes that follow each other faster than a whole table arrives, one that
-        began anew with each would never have any.
+        A transfer continues even if newer content exists: if changes follow each other
+        faster than a complete table is transferred, a transfer that restarts with each
+        change never ends.
         """
         return self._piece(progress.content, progress.held)
 
     def first_piece(self, key: Hashable) -> Piece | None:
-        """Return the first piece of what was kept under a key, or None."""
+        """Return the first piece of the content stored under a key, or None."""
         return self._piece(self._names.get(key, ""), 0)
 
     def keep(self, key: Hashable, raw: bytes) -> Piece:
-        """Keep a content under a key and return its first piece."""
+        """Store a content under a key and return its first piece."""
         data = zlib.compress(raw, COMPRESSION)
         name = _name_of(data)
         self._contents[name] = data
@@ -94,7 +96,7 @@
 
 
 class Inbox:
-    """The content that is being fetched, as far as it has come."""
+    """Received part of the content that is being fetched."""
 
     def __init__(self) -> None:
         self._content = ""
@@ -102,14 +104,15 @@
 
     @property
     def progress(self) -> Progress:
-        """What to ask on from; empty where nothing is being fetched."""
+        """Progress to send with the next request; empty if nothing is being fetched."""
         return Progress(self._content, len(self._data))
 
     def take(self, piece: Piece) -> bytes | None:
-        """Take a piece; return the content once it is whole.
+        """Append a piece; return the content once it is complete.
 
-        One that does not go on where this content ends changes nothing, but a first
-        piece of another content begins anew: who was asked does not have this one.
+        A piece that does not continue the received part is ignored, except for the first
+        piece of another content. That one restarts the transfer, since the instance asked
+        does not have the previous content.
         """
         if piece.offset == 0 and piece.content != self._content:
             self._content, self._data = piece.content, bytearray()
@@ -120,11 +123,11 @@
             return None
         whole = bytes(self._data)
         self.drop()
-        # Pieces of one name that do not belong together are fetched anew.
+        # Content whose digest does not match its name is discarded and fetched again.
         return zlib.decompress(whole) if _name_of(whole) == piece.content else None
 
     def drop(self) -> None:
-        """Forget what has come."""
+        """Discard the received part."""
         self._content, self._data = "", bytearray()
 
 
--- a/reachlink/membership/exceptions.py
+++ b/reachlink/membership/exceptions.py
@@ -10,8 +10,8 @@
 
 
 class PlatformUnavailableError(MembershipError):
-    """The platform's list cannot be read now; the last one stays in use."""
+    """The platform's list cannot be read; the last list read stays in use."""
 
 
 class PlatformBusyError(PlatformUnavailableError):
-    """The platform's list was asked for too often."""
+    """The platform rejected a request for its list because of too many requests."""
