--- a/reachlink/membership/tests/test_list_page.py
+++ b/reachlink/membership/tests/test_list_page.py
@@ -1,4 +1,4 @@
-"""Pages of lists, of which each entry is read by itself."""
+"""Tests of list pages: an unreadable entry must not hide the readable ones."""
 
 import pytest
 
@@ -11,7 +11,7 @@
     "foreign",
     [b'{"name": "r2"}', GOOD.replace(b'"r1"', b"7"), b"null", b"[", b"\xff", b'{"name": "'],
 )
-def test_the_others_hold_whatever_another_writer_puts_there(foreign):
+def test_unreadable_entry_leaves_the_others_readable(foreign):
     other = GOOD.replace(b'"name": "r1"', b'"name": "r3"')
     raw = b'{"instances": [' + GOOD + b", " + foreign + b", " + other + b'], "next_token": "t"}'
     page = PageReader(ListedInstance).read(raw)
@@ -19,12 +19,12 @@
     assert page.next_token == "t"
 
 
-def test_a_state_that_is_not_known_names_no_instance():
+def test_entry_with_unknown_state_is_skipped():
     raw = b'{"instances": [' + GOOD[:-1] + b', "state": "resting"}]}'
     assert PageReader(ListedInstance).read(raw).entries == []
 
 
 @pytest.mark.parametrize("raw", [b"", b"down for maintenance", b"[1, 2]"])
-def test_what_is_no_page_is_no_list(raw):
+def test_unreadable_page_raises(raw):
     with pytest.raises(PlatformUnavailableError):
         PageReader(ListedInstance).read(raw)
--- a/reachlink/membership/tests/test_membership.py
+++ b/reachlink/membership/tests/test_membership.py
@@ -1,4 +1,8 @@
-"""The directory believes the first sign of leaving; settings never go back."""
+"""Tests of the replica directory and of the settings holder.
+
+The directory counts an instance as leaving from the first sign on, although lists lag. The
+revision of a settings holder never decreases.
+"""
 
 from random import Random
 
@@ -23,7 +27,7 @@
     return [ListedInstance("a", "up", "z1", "127.0.0.1:1", state)]
 
 
-def test_a_stale_list_does_not_take_back_a_refusal():
+def test_stale_list_does_not_clear_refusal_mark():
     directory = ReplicaDirectory()
     directory.update(listed(), 0.0)
     assert directory.mark_leaving("a", LeavingSource.REFUSAL, 1.0)
@@ -38,8 +42,8 @@
     return [ListedInstance("a", "up", "z1", "127.0.0.1:1", state, born=born)]
 
 
-def after_list_that_lags(source: LeavingSource, at: int) -> ReplicaDirectory:
-    """Return a directory whose list has an instance leave and stay by turns after it said so."""
+def directory_after_lagging_lists(source: LeavingSource, at: int) -> ReplicaDirectory:
+    """Return a directory whose instance was marked by `source`, then listed in changing states."""
     directory = ReplicaDirectory()
     directory.update(born(InstanceState.LIVE, at), 0.0)
     directory.mark_leaving("a", LeavingSource.CLOSING, 1.0)
@@ -52,18 +56,18 @@
 
 
 @pytest.mark.parametrize("source", [LeavingSource.REFUSAL, LeavingSource.ANSWER])
-def test_its_own_word_holds_in_its_life_whatever_lists_say(source):
-    directory = after_list_that_lags(source, 1000)
+def test_mark_by_instance_itself_holds_until_restart(source):
+    directory = directory_after_lagging_lists(source, 1000)
     assert not directory.may_get_work("a")
     directory.update(born(InstanceState.LIVE, 2000), 53.0)
     assert directory.may_get_work("a")
 
 
-def test_a_guess_is_taken_back():
-    assert after_list_that_lags(LeavingSource.CLOSING, 1000).may_get_work("a")
+def test_inferred_mark_is_cleared_by_list():
+    assert directory_after_lagging_lists(LeavingSource.CLOSING, 1000).may_get_work("a")
 
 
-def test_a_name_without_a_time_of_start_is_one_life_until_a_list_had_it_not():
+def test_instance_without_start_time_restarts_after_list_that_lacks_it():
     directory = ReplicaDirectory()
     directory.update(listed(), 0.0)
     directory.mark_leaving("a", LeavingSource.ANSWER, 1.0)
@@ -74,7 +78,7 @@
     assert directory.may_get_work("a")
 
 
-def test_backoffs_end_with_the_address_and_the_life_that_asked():
+def test_backoffs_end_with_restart_and_reused_address():
     pacing = PacingTracker(Random(1))
     backoffs = pacing.backoffs
     directory = ReplicaDirectory(pacing=pacing)
@@ -87,7 +91,7 @@
     assert backoffs.admits("127.0.0.1:1", 101.0)
 
 
-def test_an_instance_that_left_is_still_found_for_its_generations():
+def test_instance_absent_from_list_is_still_found():
     directory = ReplicaDirectory()
     directory.update(listed(), 0.0)
     directory.update([], 1.0)
@@ -95,14 +99,14 @@
     assert directory.find("a") is not None
 
 
-def test_routes_replace_addresses():
+def test_routes_replace_listed_addresses():
     directory = ReplicaDirectory({"127.0.0.1:1": "127.0.0.1:9"})
     directory.update(listed(), 0.0)
     assert directory.live("up")[0].address == "127.0.0.1:9"
 
 
 def answer_to(revision: int, base: int, whole: bool) -> SettingsAnswer:
-    """Return what a source at `revision` says to one who has `base`."""
+    """Return the answer of a source at `revision` to a requester at `base`."""
     if whole or base > revision:
         return SettingsAnswer(revision, False, values={"defaults.priority": revision % 10})
     deltas = [
@@ -113,7 +117,7 @@
 
 @settings(derandomize=True)
 @given(st.lists(st.tuples(st.integers(1, 30), st.integers(0, 30), st.booleans()), max_size=40))
-def test_whatever_arrives_the_revision_only_grows_and_fits_its_values(answers):
+def test_revision_never_decreases_and_matches_values(answers):
     holder = SettingsHolder()
     for revision, base, whole in answers:
         before = holder.tree.revision
@@ -125,7 +129,7 @@
             assert holder.tree.values["defaults.priority"] == after % 10
 
 
-def test_a_holder_passes_on_deltas_or_the_whole():
+def test_holder_answers_with_deltas_or_all_values():
     source, reader = SettingsHolder(), SettingsHolder()
     source.take(answer_to(5, 0, False))
     assert source.since(3).values is None
@@ -140,7 +144,7 @@
     return ListedInstance(name, "chat", "a", f"{name}:1", state)
 
 
-def test_a_reading_tells_what_is_new_in_it():
+def test_update_returns_new_and_changed_instances():
     directory = ReplicaDirectory()
     assert directory.update([one("r1"), one("r2")], 0.0) == [one("r1"), one("r2")]
     leaves = one("r1", InstanceState.LEAVING)
@@ -148,7 +152,7 @@
     assert directory.update([leaves, one("r2")], 2.0) == []
 
 
-def test_what_another_reader_found_counts_at_once_and_takes_nothing_back():
+def test_peer_report_applies_at_once_and_clears_no_mark():
     directory = ReplicaDirectory()
     directory.update([one("r1")], 0.0)
     directory.hear([one("r2"), one("r1", InstanceState.LEAVING)], 1.0)
@@ -159,7 +163,7 @@
     assert directory.leaving("chat", 1.5) == []
 
 
-def test_an_older_copy_of_the_list_does_not_hide_what_another_reader_found():
+def test_older_list_does_not_hide_instance_reported_by_peer():
     directory = ReplicaDirectory()
     directory.hear([one("r2")], 1.0)
     directory.update([one("r1")], 1.5)
@@ -168,7 +172,7 @@
     assert not directory.may_get_work("r2")
 
 
-def test_a_zone_out_of_service_gets_nothing_and_its_instances_stay():
+def test_zone_out_of_service_gets_no_work_and_keeps_its_instances():
     directory = ReplicaDirectory()
     directory.update(
         [
@@ -181,14 +185,14 @@
     assert [r.name for r in directory.live("chat")] == ["r1"]
     assert not directory.may_get_work("r2") and directory.stays("r2")
     assert {r.name for r in directory.staying("chat")} == {"r1", "r2"}
-    # One that comes later finds the order in force.
+    # The order also applies to an instance that is added later.
     directory.hear([ListedInstance("r3", "chat", "b", "127.0.0.1:3")], 1.0)
     assert not directory.may_get_work("r3")
     directory.take_out_of_service(set(), 0.0)
     assert {r.name for r in directory.live("chat")} == {"r1", "r2", "r3"}
 
 
-def test_a_zone_taken_back_counts_as_cold_until_the_list_can_have_told():
+def test_zone_returned_to_service_counts_as_cold_for_list_delay():
     directory = ReplicaDirectory()
     directory.update([ListedInstance("r1", "chat", "a", "127.0.0.1:1")], 0.0)
     directory.take_out_of_service({"a"}, 1.0)
@@ -198,26 +202,26 @@
     assert directory.cold_s("r1", 9.5) == 0.0
 
 
-def test_a_list_that_trails_does_not_make_a_cold_instance_warm():
+def test_lagging_list_does_not_make_cold_instance_warm():
     directory = ReplicaDirectory()
     cold = ListedInstance("r1", "chat", "a", "127.0.0.1:1", cold_s=3.0)
     warm = ListedInstance("r1", "chat", "a", "127.0.0.1:1")
     directory.update([warm], 0.0)
-    # News to the others: they would send as much as to a warm one.
+    # Peers must be told: otherwise they send as much as to a warm instance.
     assert directory.update([cold], 1.0) == [cold]
     assert directory.update([warm], 1.5) == []
     assert directory.cold_s("r1", 2.0) == 2.0
     assert directory.cold_s("r1", 4.5) == 0.0
 
 
-def test_what_another_reader_has_found_cold_is_cold_here():
+def test_cold_instance_reported_by_peer_is_cold_here():
     directory = ReplicaDirectory()
     directory.update([ListedInstance("r1", "chat", "a", "127.0.0.1:1")], 0.0)
     directory.hear([ListedInstance("r1", "chat", "a", "127.0.0.1:1", cold_s=2.0)], 1.0)
     assert directory.cold_s("r1", 1.0) == 2.0
 
 
-def test_a_name_that_is_gone_for_good_is_not_taken_back_by_a_list():
+def test_list_does_not_clear_mark_of_replaced_instance():
     directory = ReplicaDirectory(unconfirmed_mark_s=2.0)
     directory.update(listed(), 0.0)
     assert directory.mark_gone("a", 1.0)
--- a/reachlink/membership/tests/test_roster.py
+++ b/reachlink/membership/tests/test_roster.py
@@ -1,4 +1,4 @@
-"""Which entry instances exchange load."""
+"""Tests of the roster: which entry instances are present and which coordinate."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
     return InstanceRecord(name, f"{name}:1", zone)
 
 
-def test_silent_instances_are_left_out():
+def test_silent_instances_are_absent():
     roster = Roster()
     roster.note([record("e1"), record("e2")], 0.0)
     roster.note([record("e2")], 3.0)
@@ -22,14 +22,14 @@
     assert [r.name for r in roster.coordinators(0.0)] == ["e1", "e2", "e3"]
 
 
-def test_of_many_instances_some_of_each_zone_coordinate():
+def test_among_many_instances_some_of_each_zone_coordinate():
     roster = Roster()
     roster.note([record(f"e{i:03d}", "abcde"[i % 5]) for i in range(400)], 0.0)
     chosen = roster.coordinators(0.0)
     assert Counter(r.availability_zone for r in chosen) == dict.fromkeys("abcde", 2)
 
 
-def test_an_instance_that_comes_or_goes_changes_one_coordinator_at_most():
+def test_joining_or_leaving_instance_changes_at_most_one_coordinator():
     many = [record(f"e{i:03d}", "abc"[i % 3]) for i in range(60)]
     roster = Roster()
     roster.note(many, 0.0)
@@ -41,13 +41,13 @@
         assert len(before - after) == (1 if gone.name in before else 0)
 
 
-def test_every_zone_keeps_coordinators_however_few_it_has_left():
+def test_zone_with_one_instance_has_a_coordinator():
     roster = Roster()
     roster.note([record(f"e{i:03d}") for i in range(40)] + [record("f1", "b")], 0.0)
     assert "f1" in {r.name for r in roster.coordinators(0.0)}
 
 
-def test_instances_beyond_a_cut_stay_while_who_told_of_them_is_silent():
+def test_instances_behind_partition_stay_while_their_reporter_is_silent():
     roster = Roster()
     for now in (0.0, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0):
         roster.note([record("e1")], now)
@@ -58,7 +58,7 @@
     assert [r.name for r in roster.present(40.0)] == ["e1"]
 
 
-def test_an_instance_that_its_teller_no_longer_names_is_absent():
+def test_instance_no_longer_reported_by_active_reporter_is_absent():
     roster = Roster()
     roster.note([record("f1", "b"), record("f2", "b")], 0.0, teller="c2")
     for now in (1.0, 2.0, 3.0, 4.0, 5.0):
@@ -66,7 +66,7 @@
     assert [r.name for r in roster.present(5.0)] == ["f1"]
 
 
-def test_a_zone_that_is_cut_off_keeps_its_coordinators():
+def test_coordinators_stay_the_same_during_partition():
     roster = Roster()
     near = [record(f"e{i:02d}", "a") for i in range(20)]
     roster.note([record(f"f{i:02d}", "bc"[i % 2]) for i in range(40)], 0.0, teller="c2")
--- a/reachlink/membership/tests/test_started_again.py
+++ b/reachlink/membership/tests/test_started_again.py
@@ -1,4 +1,7 @@
-"""An instance that starts again under its name."""
+"""Tests of instances that restart under the same name.
+
+Marks and backoffs of the process before the restart must not apply to the new one.
+"""
 
 import pytest
 
@@ -12,7 +15,7 @@
 
 
 def directory(born: int = 100) -> tuple[ReplicaDirectory, list[str]]:
-    """Return a directory that knows `r1`, and the names that it says have started again."""
+    """Return a directory that contains `r1`, and the list of restarts that it reports."""
     made = ReplicaDirectory(unconfirmed_mark_s=30.0)
     made.update(listed(), 0.0)
     again: list[str] = []
@@ -22,7 +25,7 @@
 
 
 @pytest.mark.parametrize("source", list(LeavingSource))
-def test_what_was_said_of_its_life_before_counts_no_longer(source):
+def test_restart_clears_leaving_mark(source):
     made, again = directory()
     if source is LeavingSource.REPLACED:
         made.mark_gone("r1", 1.0)
@@ -35,7 +38,7 @@
     assert again == ["r1"]
 
 
-def test_it_may_leave_again():
+def test_restarted_instance_can_be_marked_again():
     made, _ = directory()
     made.mark_leaving("r1", LeavingSource.REPORT, 1.0)
     made.note_born("r1", 200, 2.0)
@@ -44,7 +47,7 @@
 
 
 @pytest.mark.parametrize("born", [0, 50, 100])
-def test_the_same_life_or_an_earlier_one_is_no_news(born):
+def test_same_or_earlier_start_time_is_not_a_restart(born):
     made, again = directory()
     made.mark_leaving("r1", LeavingSource.REPORT, 1.0)
     assert not made.note_born("r1", born, 2.0)
@@ -52,7 +55,7 @@
     assert again == []
 
 
-def test_a_list_that_is_behind_takes_nothing_back():
+def test_list_with_earlier_start_time_is_ignored():
     made, _ = directory()
     made.note_born("r1", 200, 1.0)
     made.update(listed(100, LEAVING), 2.0)
@@ -61,7 +64,7 @@
     assert not made.may_get_work("r1")
 
 
-def test_the_list_may_tell_first():
+def test_restart_is_detected_from_list():
     made, again = directory()
     made.mark_gone("r1", 1.0)
     made.update(listed(200), 2.0)
@@ -69,8 +72,8 @@
     assert again == ["r1"]
 
 
-def test_one_whose_address_another_has_comes_back_with_a_list_after_one_without():
-    """It does not say when it started: the list that lags has it, then not, then again."""
+def test_replaced_instance_without_start_time_returns_after_list_that_lacks_it():
+    """Without a start time, only a list that lacked the instance makes a later one count."""
     made = ReplicaDirectory()
     made.update(listed(), 0.0)
     made.mark_gone("r1", 1.0)
--- a/reachlink/membership/tests/test_transfers.py
+++ b/reachlink/membership/tests/test_transfers.py
@@ -1,4 +1,7 @@
-"""Contents in pieces: whole or not there at all, whatever is lost or comes twice."""
+"""Tests of transfers in pieces.
+
+Pieces that are lost, repeated or of another content must never result in wrong content.
+"""
 
 from random import Random
 
@@ -26,7 +29,7 @@
 
 @settings(derandomize=True, max_examples=100)
 @given(st.lists(st.sampled_from(["next", "lost", "again", "other"]), max_size=60))
-def test_pieces_that_are_lost_or_repeated_leave_the_content_whole(steps):
+def test_lost_and_repeated_pieces_leave_content_intact(steps):
     outbox, inbox = Outbox(), Inbox()
     first = outbox.keep("key", LARGE)
     other = outbox.keep("other", LARGE[::-1])
@@ -46,7 +49,7 @@
     assert inbox.progress == Progress()
 
 
-def test_who_lacks_what_was_begun_offers_its_own_from_the_start():
+def test_sender_without_the_content_restarts_with_its_own():
     one, other, inbox = Outbox(), Outbox(), Inbox()
     inbox.take(one.keep("key", LARGE))
     assert other.resume(inbox.progress) is None
@@ -56,7 +59,7 @@
     assert found == LARGE[::-1]
 
 
-def test_pieces_that_do_not_belong_together_are_fetched_anew():
+def test_content_with_wrong_digest_is_fetched_again():
     outbox, inbox = Outbox(), Inbox()
     first = outbox.keep("key", LARGE)
     inbox.take(msgspec.structs.replace(first, data=first.data[::-1]))
@@ -80,7 +83,7 @@
     return holder
 
 
-def test_a_patch_that_does_not_fit_is_not_taken_and_the_whole_is_asked_for():
+def test_mismatched_patch_is_rejected_and_all_values_are_requested():
     def table(number: int, text: str) -> PublishedTable:
         return PublishedTable(number, NATIVE_FORMAT, text)
 
@@ -99,7 +102,7 @@
 
 @settings(derandomize=True, max_examples=60)
 @given(st.lists(st.integers(0, 12), min_size=1, max_size=25), st.integers(0, 2**32))
-def test_holders_that_ask_now_and_then_end_with_the_same_table(sizes, seed):
+def test_holders_that_poll_irregularly_converge_to_the_same_table(sizes, seed):
     random = Random(seed)
     source = SettingsHolder()
     readers = [SettingsHolder() for _ in range(3)]
