--- a/reachlink/requests/_allocations.py
+++ b/reachlink/requests/_allocations.py
@@ -74,9 +74,9 @@
 
     def expect_resume(self, allocation: Allocation, primary: Replica) -> None:
         """Record when a generation will resume from its copy because its primary leaves."""
-        departures = self._parts.shutdown_times
-        departures.note_leaving(primary.name, self._parts.clock())
-        at = departures.expected_at(primary.name)
+        shutdown_times = self._parts.shutdown_times
+        shutdown_times.note_leaving(primary.name, self._parts.clock())
+        at = shutdown_times.expected_at(primary.name)
         if at is not None and (
             allocation.resumes_at is None or abs(at - allocation.resumes_at) > MIN_SENT_CHANGE_S
         ):
--- a/reachlink/requests/_copy_order.py
+++ b/reachlink/requests/_copy_order.py
@@ -1,8 +1,8 @@
 """Decisions on which copies are evicted, and which departure copies are made first."""
 
+from reachlink.requests._copy_ranking import departure_copy_rank, must_evict
 from reachlink.requests._parts import RunnerParts
 from reachlink.requests._replica_tracker import Allocation
-from reachlink.requests._stake_order import departure_copy_rank, must_evict
 from reachlink.routing import Service
 from reachlink.upstreams import Replica
 
--- a/reachlink/requests/_stake_order.py
+++ b/reachlink/requests/_copy_ranking.py
@@ -31,7 +31,7 @@
     Examples
     --------
     >>> small, large = AllocationSummary(1, 3000, 10), AllocationSummary(2, 5000, 90)
-    >>> rank(large, [small, large]), rank(small, [small, large])
+    >>> departure_copy_rank(large, [small, large]), departure_copy_rank(small, [small, large])
     (0, 1)
     """
     mine = (-generation.expected_loss, generation.key)
@@ -60,9 +60,9 @@
     Examples
     --------
     >>> small, large = AllocationSummary(1, 3000, 10), AllocationSummary(2, 5000, 90)
-    >>> gives_way(small, [small, large], 22_000, 30_000)
+    >>> must_evict(small, [small, large], 22_000, 30_000)
     True
-    >>> gives_way(large, [small, large], 22_000, 30_000)
+    >>> must_evict(large, [small, large], 22_000, 30_000)
     False
     """
     excess = not_evictable_tokens - EVICTION_THRESHOLD * capacity_tokens
--- a/reachlink/requests/_outlook.py
+++ b/reachlink/requests/_generation_progress.py
@@ -40,10 +40,10 @@
 
     Examples
     --------
-    >>> outlook = GenerationProgress(3000, 400, max_tokens=1000, last_event=25, tokens_per_event=4)
-    >>> outlook.output_tokens, outlook.used_tokens, outlook.remaining_tokens
+    >>> progress = GenerationProgress(3000, 400, max_tokens=1000, last_event=25, tokens_per_event=4)
+    >>> progress.output_tokens, progress.used_tokens, progress.remaining_tokens
     (100, 3100, 300)
-    >>> outlook.expected_loss(near=True), outlook.expected_loss(near=False)
+    >>> progress.expected_loss(near=True), progress.expected_loss(near=False)
     (6363, 12727)
     """
 
--- a/reachlink/requests/_generation_replicas.py
+++ b/reachlink/requests/_generation_replicas.py
@@ -13,8 +13,8 @@
 
 from reachlink.requests._copy_targets import CopyTargets
 from reachlink.requests._event_merger import EventMerger
+from reachlink.requests._generation_progress import GenerationProgress
 from reachlink.requests._model import CallerRequest
-from reachlink.requests._outlook import GenerationProgress
 from reachlink.requests._replica_tracker import Allocation
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._shadow_copy import ShadowCopy
@@ -66,17 +66,17 @@
         Chooses replicas and records allocations.
     request : CallerRequest
         Request of the generation.
-    joint : EventMerger
+    merger : EventMerger
         Provides the number of the last event.
     """
 
     def __init__(
-        self, dispatch: RequestDispatcher, request: CallerRequest, joint: EventMerger
+        self, dispatch: RequestDispatcher, request: CallerRequest, merger: EventMerger
     ) -> None:
         self._dispatch = dispatch
         self._placing = dispatch.placer
         self._request = request
-        self._joint = joint
+        self._merger = merger
         self._primary: _ReplicaAllocation | None = None
         self._backup: _ReplicaAllocation | None = None
         self._shadow: ShadowCopy | None = None
@@ -172,7 +172,7 @@
         """Maintain a shadow copy at a replica that stays, until cancelled."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL_S)
-            if self._primary is not None and self._joint.last_event_number >= 0:
+            if self._primary is not None and self._merger.last_event_number >= 0:
                 await self._check_copies()
 
     async def _check_copies(self) -> None:
@@ -341,7 +341,7 @@
             target=target.name,
             copy=self._backup.replica.name if self._backup else "",
             home_stays=not leaving,
-            after_event=self._joint.last_event_number,
+            after_event=self._merger.last_event_number,
             replicas=self._placing.options.describe(self._request.service, set()),
         )
 
@@ -361,7 +361,7 @@
             prompt_tokens=self._request.prompt_tokens,
             expected_tokens=facts.expected_output_tokens if facts else 0,
             max_tokens=facts.max_output_tokens if facts else 0,
-            last_event=self._joint.last_event_number,
+            last_event=self._merger.last_event_number,
             tokens_per_event=engine.tokens_per_event if engine else 0,
         )
 
--- a/reachlink/requests/_load_updates.py
+++ b/reachlink/requests/_load_updates.py
@@ -196,35 +196,37 @@
     paces: list[PaceUpdate] = []
 
 
-def sum_usages(shares: list[ReplicaUsage]) -> ReplicaUsage:
-    """Return the sum of the usages of one replica; `shares` must not be empty."""
-    joins = [s.resumes_in_s for s in shares if s.resumes_in_s is not None]
+def sum_usages(usages: list[ReplicaUsage]) -> ReplicaUsage:
+    """Return the sum of the usages of one replica; `usages` must not be empty."""
+    resume_times = [s.resumes_in_s for s in usages if s.resumes_in_s is not None]
     return ReplicaUsage(
-        replica=shares[0].replica,
-        running=sum(s.running for s in shares),
-        tokens=sum(s.tokens for s in shares),
-        unread_tokens=sum(s.unread_tokens for s in shares),
-        used_tokens=sum(s.used_tokens for s in shares),
-        copies=tuple(copy for s in shares for copy in s.copies),
-        unreplicated=tuple(note for s in shares for note in s.unreplicated),
-        pending_transfers=sum(s.pending_transfers for s in shares),
-        resumes_in_s=min((s for s in joins if s + RESUME_TOLERANCE_S > 0.0), default=None),
+        replica=usages[0].replica,
+        running=sum(s.running for s in usages),
+        tokens=sum(s.tokens for s in usages),
+        unread_tokens=sum(s.unread_tokens for s in usages),
+        used_tokens=sum(s.used_tokens for s in usages),
+        copies=tuple(copy for s in usages for copy in s.copies),
+        unreplicated=tuple(summary for s in usages for summary in s.unreplicated),
+        pending_transfers=sum(s.pending_transfers for s in usages),
+        resumes_in_s=min((s for s in resume_times if s + RESUME_TOLERANCE_S > 0.0), default=None),
     )
 
 
-def with_aggregated_copies(share: ReplicaUsage) -> ReplicaUsage:
+def with_aggregated_copies(usage: ReplicaUsage) -> ReplicaUsage:
     """Return a usage whose copies and unreplicated generations are one total each.
 
     Sent to instances that have no allocation at the replica: they don't need the details.
     """
     return msgspec.structs.replace(
-        share, copies=_aggregated(share.copies), unreplicated=_aggregated(share.unreplicated)
+        usage, copies=_aggregated(usage.copies), unreplicated=_aggregated(usage.unreplicated)
     )
 
 
-def _aggregated(notes: tuple[AllocationSummary, ...]) -> tuple[AllocationSummary, ...]:
-    if not notes:
+def _aggregated(summaries: tuple[AllocationSummary, ...]) -> tuple[AllocationSummary, ...]:
+    if not summaries:
         return ()
     return (
-        AllocationSummary(0, sum(n.tokens for n in notes), max(n.expected_loss for n in notes)),
+        AllocationSummary(
+            0, sum(n.tokens for n in summaries), max(n.expected_loss for n in summaries)
+        ),
     )
--- a/reachlink/requests/_peer_load.py
+++ b/reachlink/requests/_peer_load.py
@@ -83,16 +83,18 @@
         # an instance has been silent.
         self._last_heard: dict[str, float] = {}
 
-    def update(self, note: LoadUpdate, now: float) -> None:
+    def update(self, message: LoadUpdate, now: float) -> None:
         """Replace the load of one instance by that of its new message."""
-        self._last_heard[note.instance] = now
-        self._drop(note.instance)
-        self._usages[note.instance] = _InstanceUsages({s.replica: s for s in note.usages}, now)
-        for share in note.usages:
-            self._instances_at.setdefault(share.replica, set()).add(note.instance)
-            self._sums.pop(share.replica, None)
-
-    def add(self, instance: str, share: ReplicaUsage, now: float) -> None:
+        self._last_heard[message.instance] = now
+        self._drop(message.instance)
+        self._usages[message.instance] = _InstanceUsages(
+            {s.replica: s for s in message.usages}, now
+        )
+        for usage in message.usages:
+            self._instances_at.setdefault(usage.replica, set()).add(message.instance)
+            self._sums.pop(usage.replica, None)
+
+    def add(self, instance: str, usage: ReplicaUsage, now: float) -> None:
         """Add to the load of an instance until its next message.
 
         Used for a request that was just placed for the instance. The instance's own message
@@ -103,11 +105,11 @@
             and now - self._usages[instance].received_at > MESSAGE_VALIDITY_S
         ):
             self._drop(instance)
-        known = self._usages.setdefault(instance, _InstanceUsages({}, now))
-        before = known.usages.get(share.replica)
-        known.usages[share.replica] = sum_usages([before, share]) if before else share
-        self._instances_at.setdefault(share.replica, set()).add(instance)
-        self._sums.pop(share.replica, None)
+        latest = self._usages.setdefault(instance, _InstanceUsages({}, now))
+        previous = latest.usages.get(usage.replica)
+        latest.usages[usage.replica] = sum_usages([previous, usage]) if previous else usage
+        self._instances_at.setdefault(usage.replica, set()).add(instance)
+        self._sums.pop(usage.replica, None)
 
     def forget(self, instance: str) -> None:
         """Drop the load of an instance that reports to another coordinator or is gone."""
@@ -127,10 +129,10 @@
 
     def usages_of(self, instance: str, now: float) -> list[ReplicaUsage]:
         """Return the usages that one instance sent, with time spans as of now."""
-        known = self._usages.get(instance)
-        if known is None or now - known.received_at > MESSAGE_VALIDITY_S:
+        latest = self._usages.get(instance)
+        if latest is None or now - latest.received_at > MESSAGE_VALIDITY_S:
             return []
-        return [_with_elapsed(share, now - known.received_at) for share in known.usages.values()]
+        return [_with_elapsed(usage, now - latest.received_at) for usage in latest.usages.values()]
 
     def usage_at(self, replica: str, now: float, without: str = "") -> ReplicaUsage:
         """Return the total usage of a replica by the other instances.
@@ -146,38 +148,40 @@
         """
         if without and without in self._instances_at.get(replica, ()):
             return self._sum_usages(replica, now, without).usage_at(now)
-        found = self._sums.get(replica)
-        if found is None or now > found.valid_until:
-            found = self._sums[replica] = self._sum_usages(replica, now)
-        return found.usage_at(now)
+        cached = self._sums.get(replica)
+        if cached is None or now > cached.valid_until:
+            cached = self._sums[replica] = self._sum_usages(replica, now)
+        return cached.usage_at(now)
 
     def _sum_usages(self, replica: str, now: float, without: str = "") -> _CachedSum:
-        shares: list[ReplicaUsage] = []
-        joins: list[float] = []
+        usages: list[ReplicaUsage] = []
+        resume_times: list[float] = []
         until = float("inf")
         for name in list(self._instances_at.get(replica, ())):
-            known = self._usages[name]
-            if now - known.received_at > MESSAGE_VALIDITY_S:
+            latest = self._usages[name]
+            if now - latest.received_at > MESSAGE_VALIDITY_S:
                 self._drop(name)
             elif name != without:
-                share = known.usages[replica]
-                shares.append(share)
-                until = min(until, known.received_at + MESSAGE_VALIDITY_S)
-                if share.resumes_in_s is not None:
-                    joins.append(known.received_at + share.resumes_in_s)
-        whole = sum_usages(shares) if shares else ReplicaUsage(replica, 0, 0)
-        return _CachedSum(msgspec.structs.replace(whole, resumes_in_s=None), tuple(joins), until)
+                usage = latest.usages[replica]
+                usages.append(usage)
+                until = min(until, latest.received_at + MESSAGE_VALIDITY_S)
+                if usage.resumes_in_s is not None:
+                    resume_times.append(latest.received_at + usage.resumes_in_s)
+        total = sum_usages(usages) if usages else ReplicaUsage(replica, 0, 0)
+        return _CachedSum(
+            msgspec.structs.replace(total, resumes_in_s=None), tuple(resume_times), until
+        )
 
     def _drop(self, instance: str) -> None:
-        known = self._usages.pop(instance, None)
-        for replica in known.usages if known else ():
+        latest = self._usages.pop(instance, None)
+        for replica in latest.usages if latest else ():
             self._instances_at[replica].discard(instance)
             self._sums.pop(replica, None)
             if not self._instances_at[replica]:
                 del self._instances_at[replica]
 
 
-def _with_elapsed(share: ReplicaUsage, passed_s: float) -> ReplicaUsage:
-    if share.resumes_in_s is None:
-        return share
-    return msgspec.structs.replace(share, resumes_in_s=round(share.resumes_in_s - passed_s, 3))
+def _with_elapsed(usage: ReplicaUsage, passed_s: float) -> ReplicaUsage:
+    if usage.resumes_in_s is None:
+        return usage
+    return msgspec.structs.replace(usage, resumes_in_s=round(usage.resumes_in_s - passed_s, 3))
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -46,8 +46,10 @@
         now = parts.clock()
         live = [r for r in self._reachable.live(service.name, now) if r.name not in excluded]
         states = {r.name: parts.book.state(r.name) for r in live}
-        told = {name: state.allowance_from_coordinator(now) for name, state in states.items()}
-        trust = allowances({name: s.health for name, s in states.items()}, now, told)
+        from_coordinator = {
+            name: state.allowance_from_coordinator(now) for name, state in states.items()
+        }
+        trust = allowances({name: s.health for name, s in states.items()}, now, from_coordinator)
         near = zone or parts.zone
         return [self._option(service, r, states[r.name], trust[r.name], near, now) for r in live]
 
--- a/reachlink/requests/_replica_tracker.py
+++ b/reachlink/requests/_replica_tracker.py
@@ -228,11 +228,11 @@
             return 0
         return self.report.kv_used_tokens
 
-    def record_report(self, news: ReplicaReport, read_at: float) -> bool:
+    def record_report(self, report: ReplicaReport, read_at: float) -> bool:
         """Store a report; return whether it is newer than the stored one."""
         if read_at <= self.reported_at:
             return False
-        self.report, self.reported_at = news, read_at
+        self.report, self.reported_at = report, read_at
         return True
 
     def current_report(self, now: float) -> ReplicaReport | None:
--- a/reachlink/requests/_shutdown_times.py
+++ b/reachlink/requests/_shutdown_times.py
@@ -45,16 +45,16 @@
 
     Examples
     --------
-    >>> departures = ShutdownTimes()
-    >>> departures.note_leaving("r1", 100.0)
-    >>> departures.expected_at("r1")
+    >>> times = ShutdownTimes()
+    >>> times.note_leaving("r1", 100.0)
+    >>> times.expected_at("r1")
     101.8
-    >>> departures.note_reported_time("r1", 100.6, leaves_in_s=1.7)
-    >>> departures.expected_at("r1")
+    >>> times.note_reported_time("r1", 100.6, leaves_in_s=1.7)
+    >>> times.expected_at("r1")
     101.8
-    >>> departures.note_gone("r1", 101.6)
-    >>> departures.note_leaving("r2", 200.0)
-    >>> round(departures.expected_at("r2"), 3)
+    >>> times.note_gone("r1", 101.6)
+    >>> times.note_leaving("r2", 200.0)
+    >>> round(times.expected_at("r2"), 3)
     201.75
     """
 
--- a/reachlink/requests/tests/test_outlook.py
+++ b/reachlink/requests/tests/test_outlook.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from reachlink.requests._outlook import (
+from reachlink.requests._generation_progress import (
     FULL_RISK_TOKENS,
     MIN_REMAINING_FRACTION,
     OTHER_ZONE_RISK_FACTOR,
--- a/reachlink/requests/tests/test_promise_load.py
+++ b/reachlink/requests/tests/test_promise_load.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from reachlink.requests._outlook import GenerationProgress
+from reachlink.requests._generation_progress import GenerationProgress
 from reachlink.scheduling import ReplicaOption, choose_replica
 
 # Engines of a deployment that still take work during a failure.
--- a/reachlink/requests/tests/test_stake_order.py
+++ b/reachlink/requests/tests/test_stake_order.py
@@ -1,7 +1,7 @@
 """Order in which copies are evicted, and in which departure copies are made."""
 
 from reachlink.requests import AllocationSummary
-from reachlink.requests._stake_order import departure_copy_rank, must_evict
+from reachlink.requests._copy_ranking import departure_copy_rank, must_evict
 
 
 def test_copy_with_lowest_expected_loss_is_evicted_first():
