--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -110,11 +110,11 @@
         recipient: str,
     ) -> list[str]:
         """Return the replicas whose paces are sent again; new changes go first."""
-        left = MAX_PACES_PER_UPDATE - len(changed)
-        if progress.resent_up_to is None or not left:
+        remaining = MAX_PACES_PER_UPDATE - len(changed)
+        if progress.resent_up_to is None or not remaining:
             return []
         progress.resent_up_to, replicas = self._book.changed_since(
-            progress.resent_up_to, sources, left, excluded_sender=recipient
+            progress.resent_up_to, sources, remaining, excluded_sender=recipient
         )
         if progress.resent_up_to >= progress.sent_up_to:
             progress.resent_up_to = None
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -134,9 +134,13 @@
                 overtaken[held.query.zones] = waiting
                 if waiting.reserves_room(now):
                     reserved |= self._reserved_replicas(service, held.query)
-        # Requests that were not compared are drawn at random, so that each is compared in time.
-        left = [(waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.query)]
-        for waiting, held in self._random.sample(left, min(MAX_COMPARED, len(left))):
+        # The others are drawn at random, so that each of them is compared sooner or later.
+        not_compared = [
+            (waiting, held) for waiting, held in smallest if queue.unfit.may_fit(held.query)
+        ]
+        for waiting, held in self._random.sample(
+            not_compared, min(MAX_COMPARED, len(not_compared))
+        ):
             if self._grant(queue, service, waiting, held, now, reserved):
                 _record_overtaken(overtaken, now)
                 return True
--- a/reachlink/coordination/_queue_outcomes.py
+++ b/reachlink/coordination/_queue_outcomes.py
@@ -77,21 +77,21 @@
         if arrived is None:
             return start if isinstance(start, Refuse) else None
         query, reservation = arrived
-        told = self._ledger.record_decision(query, need, reservation, start, queue_state)
-        return told if isinstance(told, Refuse) else None
+        decision = self._ledger.record_decision(query, need, reservation, start, queue_state)
+        return decision if isinstance(decision, Refuse) else None
 
     def refuse(
         self, queue: ServiceQueue, waiting: QueuedRequest, reason: RefusalReason, now: float
     ) -> PlacementReply:
         """Refuse a request that was queued; return the reply to it."""
         state = queue.requests.state_ahead_of(waiting, now)
-        left = waiting.need_at(now)
+        need = waiting.need_at(now)
         state = replace(state, reserved_tokens=self.reserved_tokens(queue.service, now))
-        found = make_refusal(left, state, reason, self._random)
-        told = self.record_decision(queue, waiting.request_id, left, found, state)
+        found = make_refusal(need, state, reason, self._random)
+        decision = self.record_decision(queue, waiting.request_id, need, found, state)
         self._count(queue.service, reason.value)
         self.record_left(queue, waiting, reason.value)
-        return PlacementReply(ready=True, wait_or_refuse=told)
+        return PlacementReply(ready=True, wait_or_refuse=decision)
 
     def record_joined(self, queue: ServiceQueue, waiting: QueuedRequest, now: float) -> None:
         """Record that a request has joined the queue."""
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -207,12 +207,12 @@
     ) -> Start:
         """Return the forecast start of a queued request."""
         state = queue.requests.state_ahead_of(waiting, now)
-        told = self._outcomes.reserved_tokens(queue.service, now)
-        state = replace(state, reserved_tokens=told)
-        asked = structs.replace(query, need=waiting.need_at(now))
-        start = self._placing.start(service, asked, state)
+        reserved_tokens = self._outcomes.reserved_tokens(queue.service, now)
+        state = replace(state, reserved_tokens=reserved_tokens)
+        current_query = structs.replace(query, need=waiting.need_at(now))
+        start = self._placing.start(service, current_query, state)
         refused = isinstance(start, Refuse) and state.ahead > 0
-        if refused and self._grants.has_room(queue, service, asked, now):
+        if refused and self._grants.has_room(queue, service, current_query, now):
             return Wait(expected_wait_s(waiting.need, state), state.ahead)
         return start
 
