--- a/reachlink/requests/tests/test_book.py
+++ b/reachlink/requests/tests/test_book.py
@@ -4,19 +4,19 @@
 
 
 def test_gone_replicas_are_dropped_unless_they_have_allocations():
-    book = ReplicaTracker()
-    flight = Allocation("id-1", 100)
-    book.add("r1", flight)
+    tracker = ReplicaTracker()
+    allocation = Allocation("id-1", 100)
+    tracker.add("r1", allocation)
     for name in ("r2", "r3"):
-        book.state(name)
-    state = book.state("r3")
-    book.forget_gone({"r3"})
-    assert book.occupied_replicas() == ["r1"]
-    assert book.state("r3") is state
-    book.remove("r1", flight)
-    old = book.state("r1")
-    book.forget_gone({"r3"})
-    assert book.state("r1") is not old
+        tracker.state(name)
+    state = tracker.state("r3")
+    tracker.forget_gone({"r3"})
+    assert tracker.occupied_replicas() == ["r1"]
+    assert tracker.state("r3") is state
+    tracker.remove("r1", allocation)
+    old = tracker.state("r1")
+    tracker.forget_gone({"r3"})
+    assert tracker.state("r1") is not old
 
 
 def test_instances_that_are_silent_for_long_are_dropped():
--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -24,27 +24,29 @@
 
 
 @given(st.integers(1, 30), st.floats(0.0, 200.0), st.text("abc", max_size=4))
-def test_coordinators_split_their_rate_exactly(count, bears, replica):
+def test_coordinators_split_their_rate_exactly(count, sustained_per_s, replica):
     names = tuple(f"e{i}" for i in range(count))
-    shares = [
-        request_quota(replica, bears, PlacementDeciders(n, names, 99), coordinated=True)
+    quotas = [
+        request_quota(replica, sustained_per_s, PlacementDeciders(n, names, 99), coordinated=True)
         for n in names
     ]
-    assert sum(shares) == int(bears * COORDINATORS_FRACTION)
-    assert max(shares) - min(shares) <= 1
+    assert sum(quotas) == int(sustained_per_s * COORDINATORS_FRACTION)
+    assert max(quotas) - min(quotas) <= 1
 
 
 @given(st.lists(st.integers(1, 8), min_size=1, max_size=3), st.floats(1.0, 100.0))
-def test_sides_of_a_partition_together_stay_below_the_maximum_rate(sides, bears):
+def test_sides_of_a_partition_together_stay_below_the_maximum_rate(sides, sustained_per_s):
     """Each side of a network partition uses the whole rate; the worst case is their sum."""
     total = 0
     for side, count in enumerate(sides):
         names = tuple(f"s{side}-{i}" for i in range(count))
         total += sum(
-            request_quota("r", bears, PlacementDeciders(n, names, count), coordinated=True)
+            request_quota(
+                "r", sustained_per_s, PlacementDeciders(n, names, count), coordinated=True
+            )
             for n in names
         )
-    assert total <= len(sides) * COORDINATORS_FRACTION * bears
+    assert total <= len(sides) * COORDINATORS_FRACTION * sustained_per_s
     assert 3 * COORDINATORS_FRACTION + UNCOORDINATED_FRACTION < MOST
 
 
@@ -64,15 +66,15 @@
 
 
 @given(st.lists(st.floats(0.0, 20.0), max_size=200), st.integers(0, 6))
-def test_no_window_contains_more_requests_than_the_quota(times, share):
+def test_no_window_contains_more_requests_than_the_quota(times, quota):
     rates = ColdRequestWindow()
     sent: list[float] = []
     for now in sorted(times):
-        if rates.may_send("r", share, now):
+        if rates.may_send("r", quota, now):
             rates.note_sent("r", now)
             sent.append(now)
     for begin in sent:
-        assert sum(begin <= at <= begin + 1.0 for at in sent) <= share
+        assert sum(begin <= at <= begin + 1.0 for at in sent) <= quota
 
 
 def test_request_times_outside_the_window_are_dropped():
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -23,50 +23,50 @@
 
 @pytest.mark.parametrize("notice_s", [0.5, 1.2, 2.5])
 def test_length_of_shutdown_notices_is_learned(notice_s):
-    departures = ShutdownTimes()
+    times = ShutdownTimes()
     for number in range(20):
         name = f"r{number}"
-        departures.note_leaving(name, 100.0 * number)
-        departures.note_gone(name, 100.0 * number + notice_s)
-    departures.note_leaving("next", 9000.0)
-    learned = departures.expected_at("next") - 9000.0
+        times.note_leaving(name, 100.0 * number)
+        times.note_gone(name, 100.0 * number + notice_s)
+    times.note_leaving("next", 9000.0)
+    learned = times.expected_at("next") - 9000.0
     plausible = abs(notice_s - SHUTDOWN_NOTICE_S) <= 1.0
     assert abs(learned - (notice_s if plausible else SHUTDOWN_NOTICE_S)) < 0.05
 
 
 def test_reported_time_takes_precedence_over_usual_notice():
-    departures = ShutdownTimes()
-    departures.note_leaving("r1", 10.0)
-    departures.note_reported_time("r1", 10.6, leaves_in_s=4.0)
-    assert departures.expected_at("r1") == 14.6 - INITIAL_REPORT_AGE_S
-    assert departures.has_reported_time("r1")
+    times = ShutdownTimes()
+    times.note_leaving("r1", 10.0)
+    times.note_reported_time("r1", 10.6, leaves_in_s=4.0)
+    assert times.expected_at("r1") == 14.6 - INITIAL_REPORT_AGE_S
+    assert times.has_reported_time("r1")
 
 
 def test_age_of_reports_is_learned():
-    departures = ShutdownTimes()
+    times = ShutdownTimes()
     for number in range(20):
         name, at = f"r{number}", 100.0 * number
-        departures.note_reported_time(name, at, leaves_in_s=2.0)
-        departures.note_gone(name, at + 1.3)
-    departures.note_reported_time("next", 9000.0, leaves_in_s=3.0)
-    assert abs(departures.expected_at("next") - 9002.3) < 0.01
+        times.note_reported_time(name, at, leaves_in_s=2.0)
+        times.note_gone(name, at + 1.3)
+    times.note_reported_time("next", 9000.0, leaves_in_s=3.0)
+    assert abs(times.expected_at("next") - 9002.3) < 0.01
 
 
 def test_nothing_is_learned_from_crash_at_implausible_time():
-    departures = ShutdownTimes()
-    departures.note_leaving("r1", 10.0)
-    departures.note_gone("r1", 18.0)
-    departures.note_gone("r9", 18.0)
-    departures.note_leaving("r2", 20.0)
-    assert departures.expected_at("r2") == 20.0 + SHUTDOWN_NOTICE_S
-    assert departures.expected_at("r9") is None
+    times = ShutdownTimes()
+    times.note_leaving("r1", 10.0)
+    times.note_gone("r1", 18.0)
+    times.note_gone("r9", 18.0)
+    times.note_leaving("r2", 20.0)
+    assert times.expected_at("r2") == 20.0 + SHUTDOWN_NOTICE_S
+    assert times.expected_at("r9") is None
 
 
 def test_old_shutdown_notices_are_dropped():
-    departures = ShutdownTimes()
-    departures.note_leaving("r1", 10.0)
-    departures.note_leaving("r2", 10.0 + RETENTION_S)
-    assert departures.expected_at("r1") is None
+    times = ShutdownTimes()
+    times.note_leaving("r1", 10.0)
+    times.note_leaving("r2", 10.0 + RETENTION_S)
+    assert times.expected_at("r1") is None
 
 
 def test_replica_at_which_generation_resumes_is_avoided():
@@ -81,13 +81,13 @@
 
 
 def test_other_instances_receive_the_time_at_which_a_generation_resumes():
-    book = ReplicaTracker()
-    book.add("r1", Allocation("g1", 3000, is_copy=True, resumes_at=12.0))
-    book.add("r1", Allocation("g2", 3000, is_copy=True, resumes_at=9.0))
-    (share,) = book.usages(10.0)
-    assert share.resumes_in_s == 2.0
+    tracker = ReplicaTracker()
+    tracker.add("r1", Allocation("g1", 3000, is_copy=True, resumes_at=12.0))
+    tracker.add("r1", Allocation("g2", 3000, is_copy=True, resumes_at=9.0))
+    (usage,) = tracker.usages(10.0)
+    assert usage.resumes_in_s == 2.0
     shared = PeerLoad()
-    shared.update(LoadUpdate("e1", [share]), 10.1)
+    shared.update(LoadUpdate("e1", [usage]), 10.1)
     shared.update(LoadUpdate("e2", [ReplicaUsage("r1", 1, 3000, resumes_in_s=1.0)]), 10.1)
     assert shared.usage_at("r1", 10.6).resumes_in_s == pytest.approx(0.5)
     assert shared.usage_at("r1", 11.6).resumes_in_s == pytest.approx(0.5)
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -48,8 +48,8 @@
 async def first_order(made: World) -> tuple[str, str]:
     while not made.adapter.moves:
         await asyncio.sleep(0.01)
-    home, target, _ = made.adapter.moves[0]
-    return home, target
+    primary, target, _ = made.adapter.moves[0]
+    return primary, target
 
 
 def test_copy_in_transfer_is_kept_for_leaving_primary_if_others_need_its_memory():
@@ -57,16 +57,16 @@
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        home, target = await first_order(made)
+        primary, target = await first_order(made)
         crowd = ReplicaUsage(target, 9, 36_000, 0, 36_000)
         made.shared.update(LoadUpdate("e2", [crowd]), loop_time())
         await asyncio.sleep(0.06)
-        made.list_replicas(home)
-        return home, target, await running
+        made.list_replicas(primary)
+        return primary, target, await running
 
-    home, target, sink = run_virtually(scenario())
+    primary, target, sink = run_virtually(scenario())
     assert sink.body == stream(1, 6) and sink.ended
-    assert {order[:2] for order in made.adapter.moves} == {(home, target)}
+    assert {order[:2] for order in made.adapter.moves} == {(primary, target)}
 
 
 def test_copy_in_transfer_is_evicted_only_after_its_arrival():
@@ -91,20 +91,20 @@
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
-        home, target = await first_order(made)
-        for name in (home, target):
+        primary, target = await first_order(made)
+        for name in (primary, target):
             made.shutdown_times.note_reported_time(name, loop_time(), leaves_in_s=2.5)
-        made.list_replicas(home, target)
+        made.list_replicas(primary, target)
         await asyncio.sleep(1.0)
         running.cancel()
         await asyncio.wait({running})
-        return home, target
+        return primary, target
 
-    home, target = run_virtually(scenario())
+    primary, target = run_virtually(scenario())
     # The second copy is requested after the first has arrived, and none in between.
     first, second = made.adapter.moves
-    assert first[:2] == (home, target)
-    assert second[0] == home and second[1] not in (home, target)
+    assert first[:2] == (primary, target)
+    assert second[0] == primary and second[1] not in (primary, target)
 
 
 @pytest.mark.parametrize("setback", [MoveSetback.UNDER_WAY, MoveSetback.NOT_RUNNING])
--- a/reachlink/requests/tests/test_promise_load.py
+++ b/reachlink/requests/tests/test_promise_load.py
@@ -20,7 +20,7 @@
 TOKENS_PER_EVENT = 4
 LENGTH_S = 120.0
 
-Promise = Callable[[GenerationProgress], int]
+MemoryEstimate = Callable[[GenerationProgress], int]
 
 
 @dataclass(eq=False)
@@ -28,16 +28,16 @@
     """One generation with its actual length and its caller's estimate, in tokens."""
 
     length: int
-    guess: int
+    estimated_length: int
     made: int = 0
     # Whether it was preempted: its caller saw a pause, at least as long as the prompt takes.
     paused: bool = False
 
     @property
-    def outlook(self) -> GenerationProgress:
+    def progress(self) -> GenerationProgress:
         last_event = self.made // TOKENS_PER_EVENT
         return GenerationProgress(
-            PROMPT_TOKENS, self.guess, MOST_TOKENS, last_event, TOKENS_PER_EVENT
+            PROMPT_TOKENS, self.estimated_length, MOST_TOKENS, last_event, TOKENS_PER_EVENT
         )
 
 
@@ -45,7 +45,7 @@
 class Engines:
     """Engines that run chats, and preempt the newest chat when their memory is exhausted."""
 
-    promise: Promise
+    estimate: MemoryEstimate
     seed: int
     # Number of chats whose callers got a whole answer without such a pause.
     whole: int = 0
@@ -68,11 +68,13 @@
     def _chat(self, random: Random) -> Chat:
         middle = MEAN_TOKENS / 2.0
         length = min(MOST_TOKENS, round(middle * random.lognormvariate(0.0, SPREAD)) + 1)
-        guess = min(MOST_TOKENS, round(length * random.lognormvariate(0.0, GUESS_SPREAD)) + 1)
-        return Chat(length, guess)
+        estimated_length = min(
+            MOST_TOKENS, round(length * random.lognormvariate(0.0, GUESS_SPREAD)) + 1
+        )
+        return Chat(length, estimated_length)
 
     def _start(self, chat: Chat, random: Random) -> None:
-        need = PROMPT_TOKENS + chat.guess
+        need = PROMPT_TOKENS + chat.estimated_length
         name = choose_replica(
             [self._option(i, chats) for i, chats in enumerate(self.running)], need, random
         )
@@ -82,13 +84,13 @@
             self.running[int(name)].append(chat)
 
     def _option(self, number: int, chats: list[Chat]) -> ReplicaOption:
-        used = sum(chat.outlook.used_tokens for chat in chats)
+        used = sum(chat.progress.used_tokens for chat in chats)
         return ReplicaOption(
             str(number),
             same_zone=True,
             running=len(chats),
             slots=SLOTS,
-            tokens=max(used, sum(self.promise(chat.outlook) for chat in chats)),
+            tokens=max(used, sum(self.estimate(chat.progress) for chat in chats)),
             used_tokens=used,
             capacity_tokens=CAPACITY_TOKENS,
         )
@@ -100,7 +102,7 @@
         self.whole += sum(not chat.paused for chat in ended)
         chats[:] = [chat for chat in chats if chat.made < chat.length]
         preempted = []
-        while sum(chat.outlook.used_tokens for chat in chats) > CAPACITY_TOKENS:
+        while sum(chat.progress.used_tokens for chat in chats) > CAPACITY_TOKENS:
             # Its prompt and its output so far have to be processed again.
             preempted.append(min(chats, key=lambda chat: chat.made))
             preempted[-1].paused = True
@@ -110,17 +112,17 @@
             self._start(chat, random)
 
 
-def fixed(outlook: GenerationProgress) -> int:
-    return outlook.prompt_tokens + outlook.expected_tokens
+def fixed(progress: GenerationProgress) -> int:
+    return progress.prompt_tokens + progress.expected_tokens
 
 
-def growing(outlook: GenerationProgress) -> int:
-    return max(fixed(outlook), outlook.final_tokens)
+def growing(progress: GenerationProgress) -> int:
+    return max(fixed(progress), progress.final_tokens)
 
 
-def shares(promise: Promise) -> tuple[float, float, float]:
+def fractions(estimate: MemoryEstimate) -> tuple[float, float, float]:
     """Return the fractions of chats that were preempted, refused, and whole."""
-    plays = [Engines(promise, seed).play() for seed in range(4)]
+    plays = [Engines(estimate, seed).play() for seed in range(4)]
     asked = sum(p.asked for p in plays)
     return (
         sum(p.preempted for p in plays) / asked,
@@ -131,6 +133,6 @@
 
 def test_increasing_expected_memory_gives_more_whole_answers_without_pause():
     """Full engines preempt generations if the memory of underestimated ones is not counted."""
-    before, now = shares(fixed), shares(growing)
+    before, now = fractions(fixed), fractions(growing)
     assert before == pytest.approx((0.089, 0.083, 0.831), abs=0.005)
     assert now == pytest.approx((0.005, 0.102, 0.850), abs=0.005)
--- a/reachlink/requests/tests/test_stake_order.py
+++ b/reachlink/requests/tests/test_stake_order.py
@@ -15,11 +15,11 @@
 
 
 def test_generation_with_highest_expected_loss_is_copied_first():
-    notes = [
+    summaries = [
         AllocationSummary(1, 3000, 10),
         AllocationSummary(2, 3000, 90),
         AllocationSummary(3, 3000, 90),
     ]
-    assert [departure_copy_rank(note, notes) for note in notes] == [2, 0, 1]
+    assert [departure_copy_rank(summary, summaries) for summary in summaries] == [2, 0, 1]
     # A generation that is not in the list yet has a rank, too.
-    assert departure_copy_rank(AllocationSummary(4, 3000, 50), notes) == 2
+    assert departure_copy_rank(AllocationSummary(4, 3000, 50), summaries) == 2
