--- a/reachlink/quarantine/__init__.py
+++ b/reachlink/quarantine/__init__.py
@@ -1,9 +1,10 @@
-"""Requests under which replicas crash: telling them apart, and holding them back.
+"""Quarantine of requests that crash replicas.
 
-A request may crash each replica that begins it, and come again under another name, at any
-instance. `Fingerprinter` tells that it is the same, `CrashGuard` finds out which
-connections ended with their replica, `Quarantine` keeps what all instances found, and
-`judge` names the request to blame among those that shared the crashed replicas.
+A request may crash every replica that starts to process it, and may arrive again with
+another request id at any instance. `Fingerprinter` identifies repeated requests,
+`CrashGuard` detects connections that ended because their replica crashed, `Quarantine`
+keeps the crashes that all instances found, and `judge` selects the request to blame among
+those that were at the crashed replicas.
 """
 
 from reachlink.quarantine._crash_watch import BrokenRun, CrashWatch, Touch
--- a/reachlink/quarantine/_crash_watch.py
+++ b/reachlink/quarantine/_crash_watch.py
@@ -1,4 +1,4 @@
-"""Finds out whether a replica ended when a connection to it did."""
+"""Detects whether a replica crashed when a connection to it ended."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -10,31 +10,32 @@
 from reachlink.telemetry import get_logger
 from reachlink.upstreams import Liveness, Replica, look_again
 
-# How long after a connection ended its replica may prove to have started again, in
-# seconds: longer than replicas take to come back after a crash, and an instance that stood
-# still meanwhile finds them up.
+# Time in seconds after the end of a connection during which a restart of its replica
+# counts as a crash. It is longer than a replica takes to come back after a crash: an
+# instance that was suspended in the meantime finds the replica up again.
 UNDECIDED_S = 5.0
 
 Touch = Callable[[Replica], Awaitable[object]]
-"""Asks a replica something small; raises an `UpstreamError` where there is no answer."""
+"""Sends a small request to a replica; raises an `UpstreamError` if there is no answer."""
 
 
 @dataclass(slots=True, frozen=True)
 class BrokenRun:
-    """A request whose connection to a replica ended before its answer did.
+    """A request whose connection to a replica ended before its answer was complete.
 
     Attributes
     ----------
     request_id : str
-        The request.
+        Id of the request.
     fingerprint : int
-        What it has in common with those that are the same.
+        Fingerprint of the request, shared by its repetitions.
     replica : Replica
-        Where it was.
+        Replica to which the request was sent.
     sent_at, broken_at : float
-        When it was sent there, and when the connection ended; monotonic seconds.
+        Times at which the request was sent and at which the connection ended; monotonic,
+        in seconds.
     begun : bool
-        Whether a part of the answer had come.
+        Whether a part of the answer had arrived.
     """
 
     request_id: str
@@ -46,20 +47,20 @@
 
 
 class CrashWatch:
-    """Looks at replicas after connections to them have ended.
+    """Probes replicas after connections to them have ended.
 
-    A connection ends for many reasons: a reset on the way, a replica that fails some of
-    its requests, one that closes what it has too many of. A replica whose port is closed
-    right after has ended.
+    A connection ends for many reasons: a reset in the network, a replica that fails some
+    of its requests or that closes excess connections. A replica whose port is closed
+    immediately afterwards has crashed.
 
     Parameters
     ----------
     touch : callable
-        Asks a replica something small; raises an `UpstreamError` where there is no answer.
+        Sends a small request to a replica; raises an `UpstreamError` if there is no answer.
     on_crash : callable
-        Is told of the runs whose replica has ended.
+        Called with each run whose replica has crashed.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -71,30 +72,30 @@
         self._touch = touch
         self._on_crash = on_crash
         self._clock = clock
-        # What is being found out, by request.
+        # Running checks by fingerprint of the request.
         self._under_way: dict[int, set[asyncio.Task[None]]] = {}
-        # Broken runs whose replica seemed to be there, or gave no sign, by replica.
+        # Broken runs whose replica answered or was unreachable, by name of the replica.
         self._undecided: dict[str, list[BrokenRun]] = {}
-        # Looks under way, by replica: all runs that one end broke share one.
+        # Running probes by replica: all runs that ended with one replica share a probe.
         self._looks: dict[str, asyncio.Task[Liveness]] = {}
         self._log: Any = get_logger()
 
     def on_broken(self, run: BrokenRun) -> None:
-        """Find out what a broken run means, in the background."""
+        """Check in the background whether the replica of a broken run has crashed."""
         task = asyncio.create_task(self._find_out(run))
         tasks = self._under_way.setdefault(run.fingerprint, set())
         tasks.add(task)
         task.add_done_callback(lambda done: self._end(run.fingerprint, done))
 
     async def settle(self, fingerprint: int, timeout_s: float) -> None:
-        """Wait until what is under way about a request is found out, for some time.
+        """Wait until the running checks of a request end, up to a timeout.
 
         Parameters
         ----------
         fingerprint : int
-            The request.
+            Fingerprint of the request.
         timeout_s : float
-            Longest wait, in seconds.
+            Maximum wait in seconds.
         """
         tasks = self._under_way.get(fingerprint)
         if tasks:
@@ -124,7 +125,7 @@
             self._keep_undecided(run)
 
     def on_started_again(self, replica: str) -> None:
-        """Take that a replica has started again under its name: it had ended before."""
+        """Count recent broken runs of a replica as crashes, since the replica has restarted."""
         since = self._clock() - UNDECIDED_S
         for run in self._undecided.pop(replica, ()):
             if run.broken_at >= since:
--- a/reachlink/quarantine/_fingerprint.py
+++ b/reachlink/quarantine/_fingerprint.py
@@ -1,26 +1,26 @@
-"""What makes two requests the same, however often and wherever they come; pure."""
+"""Fingerprints that identify repeated requests at all instances; does no I/O."""
 
 import hashlib
 
-# 64 bits: among a million requests that are told apart at a time, two have the same
-# by chance once in 37 million times (birthday bound).
+# Length of a fingerprint in bytes. With 64 bits, the probability that any two of a million
+# concurrent requests have the same fingerprint is 1 in 37 million (birthday bound).
 DIGEST_BYTES = 8
-# Longest key that the hash takes, in bytes (RFC 7693).
+# Maximum key length of BLAKE2b, in bytes (RFC 7693).
 MAX_KEY_BYTES = 64
 
 
 class Fingerprinter:
-    """Makes fingerprints, the same ones at all instances of a cluster.
+    """Computes fingerprints that are equal at all instances of a cluster.
 
-    A request keeps its fingerprint when it comes again under another request id, at
-    another instance: what counts is who asks, for what, with which body. The digest is
-    keyed, so that nobody outside can make two requests meet, and nothing of the body is
-    kept.
+    A request has the same fingerprint when it arrives again with another request id at
+    another instance: the fingerprint depends on the workspace, the method, the target and
+    the body. The digest is keyed, so that outsiders cannot construct collisions, and no
+    part of the body is kept.
 
     Parameters
     ----------
     secret : bytes
-        The cluster's shared secret; empty where the network keeps everyone else out.
+        Shared secret of the cluster; empty if the network admits only trusted hosts.
 
     Examples
     --------
@@ -41,15 +41,15 @@
         Parameters
         ----------
         workspace : str
-            Whose request it is; empty for none.
+            Workspace of the request; empty if there is none.
         method, target : str
             HTTP method, and host and path with query.
         body : bytes
-            Whole body.
+            Complete body.
         """
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES, key=self._key)
         for text in (workspace, method, target):
-            # With its length, so that no two different rows of parts read alike.
+            # The length prefix keeps different sequences of parts from being hashed alike.
             raw = text.encode()
             digest.update(len(raw).to_bytes(4, "big"))
             digest.update(raw)
@@ -58,12 +58,12 @@
 
 
 def fingerprint_of(text: str) -> int:
-    """Return the fingerprint that people wrote.
+    """Parse a fingerprint from its hexadecimal form.
 
     Raises
     ------
     ValueError
-        If the text is none.
+        If the text is not a fingerprint.
     """
     if len(text) != 2 * DIGEST_BYTES:
         raise ValueError(f"a fingerprint has {2 * DIGEST_BYTES} hexadecimal digits")
@@ -71,7 +71,7 @@
 
 
 def fingerprint_text(fingerprint: int) -> str:
-    """Return a fingerprint as people and logs write it.
+    """Return the hexadecimal form of a fingerprint for operators and logs.
 
     Examples
     --------
--- a/reachlink/quarantine/_guard.py
+++ b/reachlink/quarantine/_guard.py
@@ -1,4 +1,4 @@
-"""Keeps requests under which replicas crash away from replicas."""
+"""Keeps requests that crash replicas from being sent to replicas."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -13,27 +13,27 @@
 from reachlink.quarantine.exceptions import HeldRequestError
 from reachlink.telemetry import get_logger
 
-# Replicas that a log line names at the most.
+# Maximum number of replicas named in a log line.
 SHOWN = 8
-# How long a suspect waits at the most for what is being found out, in seconds: three looks
-# at a replica that is up take 0.2 s, one at a closed port some milliseconds.
+# Maximum time in seconds for which a suspect request waits for running crash checks. Three
+# probes of a replica that is up take 0.2 s, one probe of a closed port some milliseconds.
 SETTLED_S = 0.25
 
 
 class CrashGuard:
-    """Asked before each dispatch, and told how each ended.
+    """Checks requests before each dispatch and records how each dispatch ended.
 
-    Both ways of a request use it: one that replicas crash under would crash the next one
-    whichever way, instance or attempt sends it.
+    Both request paths use it: a request that crashes replicas crashes the next one
+    regardless of the path, instance or attempt that sends it.
 
     Parameters
     ----------
     quarantine : Quarantine
-        What is known of crashes.
+        Known crashes and the requests that are held for them.
     touch : callable
-        Asks a replica something small; raises an `UpstreamError` where there is no answer.
+        Sends a small request to a replica; raises an `UpstreamError` if there is no answer.
     clock : callable
-        Monotonic time in seconds.
+        Returns the monotonic time in seconds.
     """
 
     def __init__(
@@ -45,36 +45,36 @@
         self._quarantine = quarantine
         self._clock = clock
         self._watch = CrashWatch(touch, self._on_crash, clock)
-        # What stops requests that are under way, by fingerprint.
+        # Callbacks that stop the requests in progress, by fingerprint.
         self._stops: dict[int, set[Callable[[], None]]] = {}
-        # Those that are known here to be held, as logged.
+        # Fingerprints of the held requests that were logged.
         self._logged: set[int] = set()
         quarantine.listen(self._on_change)
         self._log: Any = get_logger()
 
     async def admit(self, fingerprint: int, request_id: str) -> None:
-        """Make sure that a request may be sent, after what is being found out about it.
+        """Check that a request may be sent, after running crash checks about it have ended.
 
-        One that a crash counts against waits for the look at the replica that it broke
-        at last: sent again at once, a call that may be repeated ended a fourth replica
-        before the third end was known.
+        A request that a crash counts against waits for the probe of the replica at which
+        its connection ended last. Without the wait, a repeatable call that is sent again at
+        once crashes a fourth replica before the third crash is known.
 
         Raises
         ------
         HeldRequestError
-            If replicas crash under it.
+            If the request is held because it crashes replicas.
         """
         if self._quarantine.is_suspect(fingerprint):
             await self._watch.settle(fingerprint, SETTLED_S)
         self.check(fingerprint, request_id)
 
     def check(self, fingerprint: int, request_id: str) -> None:
-        """Make sure that a request may be sent to a replica now.
+        """Check that a request may be sent to a replica now.
 
         Raises
         ------
         HeldRequestError
-            If replicas crash under it.
+            If the request is held because it crashes replicas.
         """
         now = self._clock()
         verdict = self._quarantine.verdict(fingerprint, now)
@@ -91,15 +91,15 @@
         raise HeldRequestError(fingerprint, len(verdict.crashes))
 
     def on_broken(self, run: BrokenRun) -> None:
-        """Take that a connection ended before an answer did."""
+        """Handle a connection that ended before its answer was complete."""
         self._watch.on_broken(run)
 
     def on_started_again(self, replica: str) -> None:
-        """Take that a replica has started again under its name."""
+        """Handle the restart of a replica under the same name."""
         self._watch.on_started_again(replica)
 
     def on_answer(self, fingerprint: int) -> None:
-        """Take that a replica has given a request its whole answer, and is there."""
+        """Clear a request that got a complete answer from a replica that is still up."""
         if self._quarantine.clear(fingerprint, self._clock()):
             self._log.info("request_cleared", fingerprint=fingerprint_text(fingerprint))
 
@@ -107,22 +107,22 @@
     async def watched(
         self, fingerprint: int, may_stop: Callable[[], bool] = lambda: True
     ) -> AsyncIterator[None]:
-        """Stop what is done here if its request comes to be held meanwhile.
+        """Stop the enclosed block if its request becomes held in the meantime.
 
-        One that waits in a replica's queue would crash it once it begins: at full
-        replicas that was 0.9 s after it was sent.
+        A request that waits in a replica's queue crashes the replica once its processing
+        starts; at full replicas this is 0.9 s after the request was sent.
 
         Parameters
         ----------
         fingerprint : int
-            The request.
+            Fingerprint of the request.
         may_stop : callable
-            Returns whether it may be stopped still: an answer that has begun may not.
+            Returns whether the block may still be stopped; false once an answer has begun.
 
         Raises
         ------
         HeldRequestError
-            If it was stopped.
+            If the block was stopped.
         """
         async with asyncio.timeout(None) as scope:
             stops = self._stops.setdefault(fingerprint, set())
@@ -137,7 +137,7 @@
             except asyncio.CancelledError as error:
                 if not scope.expired():
                     raise
-                # Cancelled by this scope: told as what it is, not as a time-out.
+                # Cancelled by this scope: reported as a held request, not as a timeout.
                 verdict = self._quarantine.verdict(fingerprint, self._clock())
                 crashes = len(verdict.crashes) if verdict is not None else 0
                 raise HeldRequestError(fingerprint, crashes) from error
--- a/reachlink/quarantine/_judging.py
+++ b/reachlink/quarantine/_judging.py
@@ -1,31 +1,32 @@
-"""Which of the requests that were at crashed replicas are to blame; pure."""
+"""Selects the requests to blame among those at crashed replicas; does no I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-# Crashes under a request from which on it is held, where nothing else explains them.
+# Weight of the crashes, not explained by another request, at which a request is held.
 CRASHES_TO_HOLD = 3.0
-# What a crash counts against a request whose answer had begun: one that crashes replicas
-# does so when it begins, as a rule; one that did later would be held after six.
+# Weight of a crash against a request whose answer had begun; 1 otherwise. A request that
+# crashes replicas usually does so when its processing starts; one that crashes them later
+# is held after six crashes.
 BEGUN_WEIGHT = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class Involvement:
-    """A request was at a replica when that crashed; times are monotonic, in seconds.
+    """A request that was at a replica when it crashed; times are monotonic, in seconds.
 
     Attributes
     ----------
     note_id : int
-        Of the note that told of it.
+        Id of the note that reported the involvement.
     fingerprint : int
-        The request.
+        Fingerprint of the request.
     replica : str
-        The replica.
+        Name of the replica.
     sent_at, crashed_at : float
-        When the request was sent there, and when the replica crashed.
+        Times at which the request was sent and at which the replica crashed.
     begun : bool
-        Whether a part of the answer had come.
+        Whether a part of the answer had arrived.
     """
 
     note_id: int
@@ -37,7 +38,7 @@
 
     @property
     def weight(self) -> float:
-        """What the crash counts against the request."""
+        """Weight of the crash against the request."""
         return BEGUN_WEIGHT if self.begun else 1.0
 
 
@@ -48,11 +49,11 @@
     Attributes
     ----------
     replica : str
-        The replica.
+        Name of the replica.
     at : float
-        When, in monotonic seconds.
+        Time of the crash; monotonic, in seconds.
     weights : dict of int to float
-        What it counts against each request, by fingerprint.
+        Weight of the crash against each request, by fingerprint.
     """
 
     replica: str
@@ -60,34 +61,34 @@
     weights: dict[int, float] = field(default_factory=dict)
 
     def add(self, found: Involvement) -> None:
-        """Add a request that was there."""
+        """Add a request that was at the replica."""
         before = self.weights.get(found.fingerprint, 0.0)
         self.weights[found.fingerprint] = max(before, found.weight)
 
 
 @dataclass(slots=True, frozen=True)
 class Verdict:
-    """Why a request is held: the crashes that it explains."""
+    """Reason why a request is held: the crashes that it explains."""
 
     fingerprint: int
     crashes: tuple[Crash, ...]
 
     @property
     def last_at(self) -> float:
-        """When the last of the crashes was, in monotonic seconds."""
+        """Time of the last crash; monotonic, in seconds."""
         return max(crash.at for crash in self.crashes)
 
     @property
     def first_at(self) -> float:
-        """When the first of the crashes was, in monotonic seconds."""
+        """Time of the first crash; monotonic, in seconds."""
         return min(crash.at for crash in self.crashes)
 
 
 def crashes_of(involvements: Iterable[Involvement]) -> list[Crash]:
-    """Return the crashes that requests were involved in.
+    """Return the crashes in which requests were involved.
 
-    Requests that were at a replica at the same time saw the same crash; one that was
-    sent there after a crash saw the next, be it under the same name.
+    Requests that were at a replica at the same time belong to the same crash. A request
+    that was sent after a crash belongs to the next crash of the replica with that name.
     """
     found: list[Crash] = []
     latest: dict[str, Crash] = {}
@@ -105,16 +106,17 @@
 ) -> dict[int, Verdict]:
     """Return the requests to hold, by fingerprint.
 
-    A crash ends all that runs at a replica, ten requests and more, and one of them did
-    it. The request with most against it is held first, and the crashes that it explains
-    then count against nobody else: who only shared replicas with it is not held.
+    A crash ends all requests at a replica, ten and more, of which one caused it. The
+    request with the largest total weight is held first. The crashes that it explains then
+    count against no other request, so that a request that only shared replicas with it is
+    not held.
 
     Parameters
     ----------
     involvements : iterable of Involvement
-        Who was where.
+        Requests at crashed replicas.
     crashes_to_hold : float
-        What must be against a request for it to be held.
+        Total weight of crashes at which a request is held.
     """
     crashes = crashes_of(involvements)
     its_own: dict[int, list[Crash]] = {}
@@ -127,7 +129,7 @@
     explained: set[int] = set()
     held: dict[int, Verdict] = {}
     while suspects:
-        # Among equals the smaller fingerprint, so that all instances judge alike.
+        # Ties go to the smaller fingerprint, so that all instances decide alike.
         worst = max(suspects, key=lambda f: (against[f], -f))
         shown = [crash for crash in its_own[worst] if id(crash) not in explained]
         held[worst] = Verdict(worst, tuple(shown))
--- a/reachlink/quarantine/_notes.py
+++ b/reachlink/quarantine/_notes.py
@@ -1,40 +1,41 @@
-"""What entry instances tell each other of crashes; pure.
+"""Messages about crashes between entry instances; does no I/O.
 
-The structs go over the wire as arrays: the order of their fields is the format,
-and new fields go to the end with a default.
+The structs are sent as arrays: the order of their fields is part of the format, and new
+fields are appended with a default value.
 """
 
 import msgspec
 
 CHANNEL_QUARANTINE = "quarantine"
-"""Call: a `QuarantineNote` of everything that the asker knows, answered with the same."""
+"""Call: a `QuarantineNote` with all the sender knows; the reply is the same for the receiver."""
 CHANNEL_RELEASE = "release"
-"""Call: a `ReleaseOrder`, answered with whether the request was held."""
+"""Call: a `ReleaseOrder`; the reply is whether the request was held."""
 
 
 class ReleaseOrder(msgspec.Struct, array_like=True, frozen=True):
-    """An operator lets a request go, by its fingerprint."""
+    """Order of an operator to release the request with a fingerprint."""
 
     fingerprint: int
 
 
 class CrashNote(msgspec.Struct, array_like=True, frozen=True):
-    """A replica has crashed, and this request was there.
+    """Report that a replica crashed while a request was there.
 
     Attributes
     ----------
     note_id : int
-        Random, so that a note is known again whichever way it comes.
+        Random id that identifies duplicates, whichever instance the note comes from.
     fingerprint : int
-        The request.
+        Fingerprint of the request.
     replica : str
-        The replica.
+        Name of the replica.
     ran_s : float
         Time from the sending of the request to the crash, in seconds.
     age_s : float
-        How long before telling it crashed, in seconds: clocks are not compared.
+        Time from the crash to the sending of the note, in seconds; an age, since the
+        clocks of instances are not comparable.
     begun : bool
-        Whether a part of the answer had come.
+        Whether a part of the answer had arrived.
     """
 
     note_id: int
@@ -46,19 +47,20 @@
 
 
 class ClearanceNote(msgspec.Struct, array_like=True, frozen=True):
-    """A request has had a whole answer, or an operator has released it.
+    """Report that a request got a complete answer or was released by an operator.
 
-    The crashes that were known against it count no longer. They are named: told by time,
-    one that comes late would count at some instances and not at others.
+    The crashes known against the request no longer count. They are listed by id: if they
+    were selected by time, a crash note that arrives late would count at some instances and
+    not at others.
 
     Attributes
     ----------
     note_id : int
-        Random, so that a note is known again whichever way it comes.
+        Random id that identifies duplicates, whichever instance the note comes from.
     age_s : float
-        How long before telling, in seconds.
+        Time from the clearance to the sending of the note, in seconds.
     void : tuple of int
-        The notes of crashes that count no longer.
+        Ids of the crash notes that no longer count.
     """
 
     note_id: int
@@ -67,16 +69,16 @@
 
 
 class QuarantineNote(msgspec.Struct, array_like=True, frozen=True):
-    """What one instance tells another.
+    """Message from one instance to another.
 
     Attributes
     ----------
     digest : int
-        The same where two instances know the same.
+        Digest of all notes that the sender knows; equal at instances with equal notes.
     crashes : list of CrashNote
-        Crashes.
+        Crashes to report.
     clearances : list of ClearanceNote
-        Clearances.
+        Clearances to report.
     """
 
     digest: int = 0
--- a/reachlink/quarantine/_quarantine.py
+++ b/reachlink/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""What one instance knows of crashes, its own findings and the others'; pure."""
+"""Crashes known to one instance, its own findings and those of peers; does no I/O."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -8,38 +8,39 @@
 from reachlink.quarantine._judging import CRASHES_TO_HOLD, Involvement, Verdict, judge
 from reachlink.quarantine._notes import ClearanceNote, CrashNote, QuarantineNote
 
-# How long a crash counts, in seconds. What makes a replica crash is in its weights or its
-# program: that outlives minutes, and each crash costs all that runs there. After an hour a
-# request that was held has one more try: one crash holds it again.
+# Time in seconds for which a crash counts. A crash has its cause in the weights or the
+# program of the replica, which does not change within minutes, and each crash ends all
+# requests at the replica. An hour after its first crash, a held request gets one more
+# attempt; one crash holds it again.
 KEPT_S = 3600.0
-# How long what was learned is told on, in seconds: several notes carry it, so that one may
-# be lost. What is missed beyond that shows in the digests.
+# Time in seconds for which a new note is repeated to peers. Several messages carry it, so
+# that one of them may be lost; further losses are detected by differing digests.
 TOLD_S = 0.4
-# Most involvements that are kept: some 250 B each. A crash leaves as many as requests ran
-# there; a flood of crashes pushes out requests with least against them, never one that is
-# held while another is there that is not.
+# Maximum number of involvements kept, at about 250 B each. A crash adds one for each
+# request that ran at the replica. If there are too many, the requests with the fewest
+# involvements are dropped first, and held requests only after all others.
 MAX_KEPT = 2000
 
 
 @dataclass(slots=True, frozen=True)
 class _Clearance:
-    """Notes of crashes that count no longer; times are monotonic, in seconds."""
+    """Ids of crash notes that no longer count; times are monotonic, in seconds."""
 
     void: tuple[int, ...]
     at: float
 
 
 class Quarantine:
-    """Requests that are held, and why.
+    """Requests that are held and the crashes that they are held for.
 
     Parameters
     ----------
     random : random.Random
-        Source of names of notes.
+        Generator of the ids of notes.
     crashes_to_hold : float
-        Crashes under a request from which on it is held.
+        Total weight of crashes at which a request is held.
     kept_s : float
-        How long a crash counts, in seconds.
+        Time in seconds for which a crash counts.
 
     Examples
     --------
@@ -64,25 +65,25 @@
         self._crashes_to_hold = crashes_to_hold
         self._kept_s = kept_s
         self._involvements: dict[int, Involvement] = {}
-        # Notes of crashes by request: looked for at the end of every answer.
+        # Ids of crash notes by request; read at the end of every answer.
         self._against: dict[int, set[int]] = {}
-        # What was learned lately, with when, and the digest of all that is known: asked
-        # for with every note to the others.
+        # Times and ids of recent notes, and the digest of all notes; both are read for
+        # every message to peers.
         self._recent: deque[tuple[float, int]] = deque()
         self._digest = 0
         self._clearances: dict[int, _Clearance] = {}
-        # Notes of crashes that count no longer, known here or not yet.
+        # Ids of crash notes that no longer count, including notes not yet received.
         self._void: set[int] = set()
         self._held: dict[int, Verdict] = {}
         self._listeners: list[Callable[[], None]] = []
 
     @property
     def fingerprints(self) -> set[int]:
-        """Requests that a crash counts against."""
+        """Fingerprints of the requests that a crash counts against."""
         return set(self._against)
 
     def held(self, now: float) -> list[Verdict]:
-        """Return why requests are held, all of them."""
+        """Return the verdicts on all held requests."""
         self._forget_old(now)
         return list(self._held.values())
 
@@ -91,7 +92,7 @@
         return fingerprint in self._against
 
     def verdict(self, fingerprint: int, now: float) -> Verdict | None:
-        """Return why a request is held; None where it is not."""
+        """Return the verdict on a held request, or None if the request is not held."""
         verdict = self._held.get(fingerprint)
         if verdict is None or verdict.first_at > now - self._kept_s:
             return verdict
@@ -99,7 +100,7 @@
         return self._held.get(fingerprint)
 
     def listen(self, listener: Callable[[], None]) -> None:
-        """Have something called whenever something was learned."""
+        """Add a listener that is called after every change of the known crashes."""
         self._listeners.append(listener)
 
     def note_crash(
@@ -111,18 +112,19 @@
         begun: bool,
         now: float,
     ) -> None:
-        """Note that a replica has crashed while a request of this instance was there.
+        """Record that a replica crashed while a request of this instance was there.
 
         Parameters
         ----------
         fingerprint : int
-            The request; 0 for one that is not told apart from others.
+            Fingerprint of the request; 0 if the request has none.
         replica : str
-            The replica.
+            Name of the replica.
         sent_at, crashed_at : float
-            When it was sent there, and when the replica crashed; monotonic seconds.
+            Times at which the request was sent and at which the replica crashed;
+            monotonic, in seconds.
         begun : bool
-            Whether a part of the answer had come.
+            Whether a part of the answer had arrived.
         now : float
             Monotonic time in seconds.
         """
@@ -133,7 +135,7 @@
         self._on_change(now)
 
     def clear(self, fingerprint: int, now: float) -> bool:
-        """Note that a request had a whole answer, or was released; return whether that is news."""
+        """Clear a request after an answer or a release; return whether it was a suspect."""
         against = tuple(self._against.get(fingerprint, ()))
         if not against:
             return False
@@ -143,7 +145,7 @@
         return True
 
     def take(self, note: QuarantineNote, now: float) -> bool:
-        """Take what another instance tells; return whether some of it is news."""
+        """Apply a message of another instance; return whether it contained anything new."""
         news = [self._take_crash(crash, now) for crash in note.crashes]
         news += [self._take_clearance(clearance, now) for clearance in note.clearances]
         if any(news):
@@ -151,18 +153,18 @@
         return any(news)
 
     def news(self, now: float) -> QuarantineNote:
-        """Return what was learned lately."""
+        """Return a message with the notes of the last `TOLD_S` seconds."""
         while self._recent and self._recent[0][0] < now - TOLD_S:
             self._recent.popleft()
         return self._note(now, [note_id for _, note_id in self._recent])
 
     def everything(self, now: float) -> QuarantineNote:
-        """Return all that is known."""
+        """Return a message with all known notes."""
         self._forget_old(now)
         return self._note(now, [*self._involvements, *self._clearances])
 
     def digest(self) -> int:
-        """Return a number that is the same where the same is known."""
+        """Return a digest that is equal at instances that know the same notes."""
         return self._digest
 
     def _note(self, now: float, note_ids: list[int]) -> QuarantineNote:
@@ -237,7 +239,7 @@
             self._digest ^= note_id
 
     def _keep_bounded(self) -> None:
-        """Drop what is least against anybody, the oldest first."""
+        """Drop involvements of the requests with the fewest of them, the oldest first."""
         excess = len(self._involvements) - MAX_KEPT
         if excess > 0:
             by_use = sorted(
--- a/reachlink/quarantine/exceptions.py
+++ b/reachlink/quarantine/exceptions.py
@@ -1,10 +1,10 @@
-"""Errors of this layer."""
+"""Errors of the quarantine layer."""
 
 from reachlink.kernel import ReachlinkError
 
 __all__ = ["HELD", "HeldRequestError", "QuarantineError"]
 
-# Why such a request is not sent, as a code for callers, logs and metrics.
+# Reason code of a held request in answers to callers, logs and metrics.
 HELD = "held_after_crashes"
 
 
@@ -13,14 +13,14 @@
 
 
 class HeldRequestError(QuarantineError):
-    """A request is not sent to a replica, since replicas crash under it.
+    """A request is not sent to a replica because it crashes replicas.
 
     Parameters
     ----------
     fingerprint : int
-        The request.
+        Fingerprint of the request.
     crashes : int
-        Crashes that it explains.
+        Number of crashes that the request explains.
     """
 
     def __init__(self, fingerprint: int, crashes: int) -> None:
