--- a/reachlink/quarantine/tests/test_guard.py
+++ b/reachlink/quarantine/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""Which broken connections count as crashes, and what is stopped."""
+"""Tests of the crash guard: which broken connections count as crashes, what is stopped."""
 
 import asyncio
 from random import Random
@@ -13,7 +13,7 @@
 
 
 class Port:
-    """A replica's port, as looks find it; the last finding stays."""
+    """Port of a replica with scripted results of probes; the last result repeats."""
 
     def __init__(self, *found: Exception | None) -> None:
         self.found = list(found)
@@ -37,14 +37,14 @@
 
 
 def counted(port: Port, runs: int = 1) -> int:
-    """Return how many crashes are against a request whose runs broke, one after the other."""
+    """Return the number of crashes against a request after consecutive broken runs."""
     quarantine = Quarantine(Random(1), crashes_to_hold=1.0)
 
     async def work() -> int:
         guard = CrashGuard(quarantine, port.touch, lambda: 10.0)
         for number in range(runs):
             guard.on_broken(broken(number))
-        # Three looks, 0.1 s apart.
+        # Three probes, 0.1 s apart.
         await asyncio.sleep(0.35)
         verdict = quarantine.verdict(GUILTY, 10.0)
         return len(verdict.crashes) if verdict else 0
@@ -57,11 +57,11 @@
     [
         ((REFUSED,), 1),
         ((UpstreamBrokenError("closed at once"),), 1),
-        # The process closes its connections first, its port some milliseconds later.
+        # The process closes its connections first and its port some milliseconds later.
         ((None, REFUSED), 1),
-        # A reset on the way, or a replica that fails some of its requests.
+        # A reset in the network, or a replica that fails some of its requests.
         ((None,), 0),
-        # A cut: nobody here can tell.
+        # A network partition: the state of the replica is unknown.
         ((SILENT,), 0),
         ((SILENT, REFUSED), 1),
     ],
@@ -70,8 +70,8 @@
     assert counted(Port(*found)) == crashes
 
 
-def test_one_that_was_found_up_and_had_started_again_is_a_crash():
-    """Looked at too late: it was back under its name, as its start time shows then."""
+def test_restart_of_replica_that_answered_the_probe_is_a_crash():
+    """The probe came too late: the replica was up again, as its start time shows later."""
     quarantine = Quarantine(Random(1), crashes_to_hold=1.0)
     now = [1.0]
 
@@ -88,8 +88,8 @@
     asyncio.run(work())
 
 
-def test_a_suspect_waits_for_what_is_being_found_out():
-    """Its third replica may just have ended: sent at once it would end a fourth."""
+def test_suspect_request_waits_for_running_crash_check():
+    """Its third replica may just have crashed: sent at once, it would crash a fourth."""
     quarantine = Quarantine(Random(1))
     for at in (1.0, 2.0):
         quarantine.note_crash(GUILTY, f"r{at}", at - 0.1, at, False, at)
@@ -105,7 +105,7 @@
     asyncio.run(work())
 
 
-def test_a_start_long_after_says_nothing_of_a_broken_connection():
+def test_restart_long_after_broken_connection_is_no_crash():
     quarantine = Quarantine(Random(1), crashes_to_hold=1.0)
     now = [1.0]
 
@@ -120,7 +120,7 @@
     asyncio.run(work())
 
 
-def test_runs_that_broke_together_share_one_look():
+def test_runs_broken_together_share_one_probe():
     port = Port(REFUSED)
     assert counted(port, runs=8) == 8
     assert port.looks == 1
@@ -131,7 +131,7 @@
         quarantine.note_crash(GUILTY, f"r{at}", at - 0.1, at, False, at)
 
 
-def test_what_waits_is_stopped_when_its_request_comes_to_be_held():
+def test_waiting_request_is_stopped_when_it_becomes_held():
     async def work():
         quarantine = Quarantine(Random(1))
         guard = CrashGuard(quarantine, Port(None).touch, lambda: 10.0)
@@ -157,7 +157,7 @@
         await asyncio.Event().wait()
 
 
-def test_a_caller_that_goes_is_no_verdict():
+def test_cancellation_by_caller_is_not_reported_as_held():
     async def work():
         guard = CrashGuard(Quarantine(Random(1)), Port(None).touch)
         task = asyncio.create_task(wait(guard))
@@ -169,7 +169,7 @@
     asyncio.run(work())
 
 
-def test_a_whole_answer_lets_a_request_go_on():
+def test_complete_answer_clears_request():
     quarantine = Quarantine(Random(1))
 
     async def work():
@@ -183,8 +183,8 @@
     asyncio.run(work())
 
 
-def test_a_verdict_that_comes_and_goes_stops_a_request_once():
-    """The second time it is on its way out already."""
+def test_repeated_verdicts_stop_request_once():
+    """At the second verdict, the request is already being cancelled."""
 
     async def work():
         quarantine = Quarantine(Random(1))
@@ -202,7 +202,7 @@
 
 
 async def linger(guard: CrashGuard) -> None:
-    """Wait, and take a while to end when stopped."""
+    """Wait, and take 0.05 s to end when stopped."""
     async with guard.watched(GUILTY):
         try:
             await asyncio.Event().wait()
--- a/reachlink/quarantine/tests/test_quarantine.py
+++ b/reachlink/quarantine/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""What several instances know of crashes, whatever becomes of their messages."""
+"""Tests of the crashes known to several instances, with lost, late and repeated messages."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
     assert here.verdict(GUILTY, 3.0) is not None
 
 
-def test_the_same_note_twice_is_one_crash():
+def test_repeated_note_counts_as_one_crash():
     here, there = Quarantine(Random(1)), Quarantine(Random(2))
     crash(there, 1.0)
     for _ in range(5):
@@ -38,7 +38,7 @@
     assert here.verdict(GUILTY, 1.3) is None
 
 
-def test_a_whole_answer_clears_also_what_is_heard_late():
+def test_clearance_covers_crash_notes_that_arrive_later():
     here, there = Quarantine(Random(1)), Quarantine(Random(2))
     for at in (1.0, 2.0, 3.0):
         crash(there, at)
@@ -62,7 +62,7 @@
     assert quarantine.verdict(GUILTY, 4.0) is not None
 
 
-def test_an_hour_later_one_try_is_enough():
+def test_one_crash_holds_again_an_hour_after_the_first():
     quarantine = Quarantine(Random(1))
     for at in (1.0, 2.0, 3.0):
         crash(quarantine, at)
@@ -72,14 +72,14 @@
     assert quarantine.verdict(GUILTY, KEPT_S + 1.6) is not None
 
 
-def test_one_that_cannot_be_told_apart_is_never_held():
+def test_request_without_fingerprint_is_never_held():
     quarantine = Quarantine(Random(1))
     for at in (1.0, 2.0, 3.0):
         crash(quarantine, at, fingerprint=0)
     assert quarantine.verdict(0, 3.0) is None
 
 
-def test_a_flood_of_unlike_requests_does_not_push_out_one_that_is_held():
+def test_flood_of_other_requests_does_not_evict_held_request():
     quarantine = Quarantine(Random(1))
     for at in (1.0, 2.0, 3.0):
         crash(quarantine, at)
@@ -99,8 +99,8 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_all_come_to_know_the_same_whatever_becomes_of_messages(seed):
-    """Notes are lost, come late, twice and in another order; a restart forgets everything."""
+def test_instances_converge_despite_unreliable_messages(seed):
+    """Messages are lost, late, repeated and reordered; a restarted instance has no notes."""
     random = Random(seed)
     instances = [Quarantine(Random(seed * 10 + n)) for n in range(4)]
     late: list[tuple[QuarantineNote, float]] = []
@@ -129,7 +129,7 @@
     assert len({q.digest() for q in instances}) == 1
 
 
-def test_what_makes_two_requests_the_same():
+def test_fingerprint_depends_on_secret_workspace_method_target_and_body():
     maker = Fingerprinter(b"secret")
     one = maker.fingerprint("w", "POST", "h/a", b"body")
     assert one == Fingerprinter(b"secret").fingerprint("w", "POST", "h/a", b"body")
