--- a/reachlink/delivery/__init__.py
+++ b/reachlink/delivery/__init__.py
@@ -1,4 +1,4 @@
-"""Delivery of answers: each token once, in order, of one generation."""
+"""Delivery of answers: each token once, in order and from a single generation."""
 
 from reachlink.delivery._outcomes import Outcome
 from reachlink.delivery._positions import Position, PositionCodec
--- a/reachlink/delivery/_outcomes.py
+++ b/reachlink/delivery/_outcomes.py
@@ -1,13 +1,13 @@
-"""What a caller is told of whether its request ran."""
+"""Outcome of a failed request as reported to its caller."""
 
 from enum import Enum
 
 
 class Outcome(Enum):
-    """Whether a request that failed has run.
+    """Whether a failed request has run.
 
-    Only ``NOT_RUN`` may be repeated without care: nothing was dispatched, or
-    the upstream refused before running.
+    Only a request with outcome ``NOT_RUN`` is safe to repeat: it was not dispatched, or
+    the upstream refused it before running it.
     """
 
     NOT_RUN = "not_run"
--- a/reachlink/delivery/_positions.py
+++ b/reachlink/delivery/_positions.py
@@ -1,9 +1,9 @@
-"""Event ids given to callers: self-describing, authenticated positions in an answer.
+"""Event ids for callers: self-contained, authenticated positions in an answer.
 
-An id is ``<claim>.<mac>.<offset>``. The claim names the request, the
-generation and where it runs; its authentication code is computed once an
-answer. The offset stands outside: a caller who alters it only asks for
-another part of its own answer.
+An id has the form ``<claim>.<mac>.<offset>``. The claim names the request, the generation
+and the replica that runs it. The message authentication code (MAC) covers the claim only
+and is computed once per answer. The offset needs no authentication: a caller that changes
+it only requests another part of its own answer.
 """
 
 import base64
@@ -29,18 +29,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Position:
-    """A place in one generation's stream.
+    """A position in the event stream of a generation.
 
     Attributes
     ----------
     service, workspace : str
-        Where the request belongs.
+        Service and workspace of the request.
     replica : str
-        Upstream instance that holds the generation.
+        Name of the upstream instance that runs the generation.
     generation, request_id : str
-        Identifiers at the engine and here.
+        Id of the generation at the engine and id of the request in this system.
     offset : int
-        Offset of the last event that the caller has.
+        Offset of the last event that the caller received.
     """
 
     service: str
@@ -52,7 +52,7 @@
 
 
 class PositionCodec:
-    """Makes and reads event ids.
+    """Encodes and decodes event ids.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
         self._secret = secret
 
     def prefix(self, position: Position) -> str:
-        """Return the part of the id that all events of an answer share."""
+        """Return the part of the event id that is the same for all events of an answer."""
         claim = _Claim(
             position.service,
             position.workspace,
@@ -76,16 +76,16 @@
         return f"{payload}.{self._mac(payload)}"
 
     def encode(self, position: Position) -> str:
-        """Return the whole event id."""
+        """Return the complete event id."""
         return f"{self.prefix(position)}.{position.offset}"
 
     def decode(self, text: str) -> Position:
-        """Read an event id.
+        """Decode an event id.
 
         Raises
         ------
         InvalidPositionError
-            If it is malformed or was not made with this secret.
+            If the id is malformed or was not encoded with this secret.
         """
         if len(text) > _MAX_ID_CHARACTERS or not text.isascii():
             raise InvalidPositionError("malformed event id")
--- a/reachlink/delivery/_rhythm.py
+++ b/reachlink/delivery/_rhythm.py
@@ -1,8 +1,8 @@
-"""Detection of a stalled stream from its own rhythm; pure.
+"""Detection of stalled streams from the intervals between their batches; does no I/O.
 
-The gap between batches is tracked as a smoothed mean and mean deviation, as
-TCP does for round-trip times [1]_. A stream is stalled when it has been quiet
-for longer than its own history makes plausible.
+The interval between batches of events is tracked as a smoothed mean and mean deviation, as
+TCP does for round-trip times [1]_. A stream counts as stalled if no batch arrives within a
+timeout that follows from the two.
 
 References
 ----------
@@ -18,17 +18,17 @@
 
 @dataclass(slots=True)
 class StallDetector:
-    """Rhythm of one stream; all times in seconds.
+    """Interval statistics of one stream; all times are in seconds.
 
     Parameters
     ----------
     first_token_s : float
-        Patience before the first event.
+        Timeout before the first event.
     floor_s, ceiling_s : float
-        Bounds of the patience between events. The floor covers a preemption
-        and its recomputation, which an engine cannot announce.
+        Bounds of the timeout between events. The lower bound covers a preemption and the
+        recomputation after it, which an engine cannot announce.
     deviations : float
-        How many mean deviations above the mean are still plausible.
+        Number of mean deviations that the timeout is above the mean interval.
     """
 
     first_token_s: float = 15.0
@@ -41,11 +41,11 @@
     seen: int = 0
 
     def start(self, now: float) -> None:
-        """Begin to wait at `now`."""
+        """Start waiting for the first batch at `now`."""
         self.last_at = now
 
     def on_batch(self, now: float) -> None:
-        """Events arrived at `now`."""
+        """Record a batch of events that arrived at `now`."""
         gap = now - self.last_at
         self.last_at = now
         self.seen += 1
@@ -60,7 +60,7 @@
         self.deviation_s += _GAIN_DEVIATION * (abs(error) - self.deviation_s)
 
     def patience_s(self) -> float:
-        """Return how long a quiet stream is to be believed."""
+        """Return the time without a batch after which the stream counts as stalled."""
         if self.seen == 0:
             return self.first_token_s
         plausible = self.mean_s + self.deviations * self.deviation_s
--- a/reachlink/delivery/_stream.py
+++ b/reachlink/delivery/_stream.py
@@ -1,8 +1,8 @@
-"""The delivery state machine of one answer; pure.
+"""State machine that delivers one answer; does no I/O.
 
-Events of the upstream go in, steps for the shell come out. Whatever the
-order, repetition or loss of events, each token is forwarded once, in order,
-and all tokens come from one generation.
+It takes events of the upstream and returns steps for its caller to execute. Whatever the
+order, repetition or loss of events, each token is forwarded once, in order, and all tokens
+come from one generation.
 
 References
 ----------
@@ -18,19 +18,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Forward:
-    """Pass these events on to the caller."""
+    """Forward these events to the caller."""
 
     events: Sequence[TokenEvent]
 
 
 @dataclass(slots=True, frozen=True)
 class Finish:
-    """The answer is whole."""
+    """The answer is complete."""
 
 
 @dataclass(slots=True, frozen=True)
 class Resume:
-    """Ask the engine for the generation from `offset` on."""
+    """Request the events of the generation from `offset` on from the engine."""
 
     generation: str
     offset: int
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Regenerate:
-    """Drop what is buffered and dispatch the request anew, elsewhere."""
+    """Discard the buffered events and dispatch the request again, to another replica."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,14 +59,14 @@
     Parameters
     ----------
     request_id : str
-        The request that every event must name.
+        Id that every event of the answer must have.
     repeatable : bool
         Whether the request may run more than once.
     buffered : bool
-        Whether the caller wants a whole answer, so that nothing reaches it
-        before the end and the generation may be replaced until then.
+        Whether the answer is sent in one part at its end, so that the generation may be
+        replaced until then.
     max_resumes : int
-        How often a link may be resumed without a new token in between.
+        Maximum number of consecutive resumes without a new token.
     """
 
     request_id: str
@@ -84,29 +84,29 @@
     _resumes: int = field(default=0)
 
     def bind(self, generation: str) -> None:
-        """Take every further event from this generation only."""
+        """Accept further events from this generation only."""
         self.generation = generation
         self._resumes = 0
 
     def start_at(self, generation: str, offset: int) -> None:
-        """Continue an answer of which the caller has the events before `offset`."""
+        """Continue an answer whose events before `offset` the caller has received."""
         self.bind(generation)
         self.next_offset = offset
         self.forwarded = offset
 
     @property
     def fruitless_resumes(self) -> int:
-        """How often the link was resumed since the last new token."""
+        """Number of resumes since the last new token."""
         return self._resumes
 
     def on_events(self, events: Sequence[TokenEvent]) -> list[Step]:
-        """Take a batch of events as it came.
+        """Handle a batch of events in the order of its arrival.
 
         Returns
         -------
         list of Step
-            `Forward` with the events that continue the answer, and `Finish`
-            after the final one, or `Resume` where events are missing.
+            `Forward` with the events that continue the answer; then `Finish` after the
+            final event, or the steps of `on_broken` if events are missing.
         """
         ready: list[TokenEvent] = []
         gap = False
@@ -125,7 +125,7 @@
         return self._after(ready, gap)
 
     def on_broken(self, reason: str) -> list[Step]:
-        """The link stalled, broke, or ended early."""
+        """Handle a connection that stalled, broke or ended early."""
         self.last_break = reason
         if self.finished:
             return []
@@ -137,7 +137,7 @@
         return [Resume(self.generation, self.next_offset)]
 
     def on_generation_lost(self, reason: str) -> list[Step]:
-        """The engine that held the generation is gone or has dropped it."""
+        """Handle the loss of the generation or of the engine that ran it."""
         self.last_break = reason
         if self.finished:
             return []
--- a/reachlink/delivery/exceptions.py
+++ b/reachlink/delivery/exceptions.py
@@ -10,4 +10,4 @@
 
 
 class InvalidPositionError(DeliveryError):
-    """An event id is malformed, was not issued here, or is another workspace's."""
+    """An event id is malformed, was not issued here, or belongs to another workspace."""
