--- a/reachlink/delivery/tests/test_stream.py
+++ b/reachlink/delivery/tests/test_stream.py
@@ -1,4 +1,7 @@
-"""Whatever happens on the way, tokens come once, in order, of one generation."""
+"""Tests of delivery over connections that repeat, lose and mix events, or break.
+
+Tokens must be forwarded once, in order and from one generation.
+"""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -27,7 +30,7 @@
 
 
 class World:
-    """An engine and a link that repeats, loses, mixes and breaks."""
+    """An engine and a connection that repeats, loses and mixes events, and breaks."""
 
     def __init__(self, data, buffered: bool, repeatable: bool) -> None:
         self.data = data
@@ -44,7 +47,7 @@
         return generation
 
     def batch(self, generation: str, position: int) -> tuple[list[TokenEvent], int]:
-        """Draw what the link delivers next, and the position after it."""
+        """Draw the next batch that the connection delivers and the position after it."""
         events = whole(generation, self.length)
         count = self.data.draw(st.integers(1, 4))
         out: list[TokenEvent] = []
@@ -94,7 +97,7 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(st.data(), st.booleans(), st.booleans())
-def test_any_interleaving_gives_each_token_once_in_order(data, buffered, repeatable):
+def test_tokens_arrive_once_in_order_despite_faulty_connection(data, buffered, repeatable):
     world = World(data, buffered, repeatable)
     world.run()
     assert [e.offset for e in world.received] == list(range(len(world.received)))
@@ -107,14 +110,14 @@
         assert world.generations == 1
 
 
-def test_gap_is_fetched_from_the_missing_offset():
+def test_gap_resumes_at_missing_offset():
     delivery = Delivery(REQUEST, True)
     delivery.bind("g")
     steps = delivery.on_events([make_event("g", 0), make_event("g", 2)])
     assert steps == [Forward([make_event("g", 0)]), Resume("g", 1)]
 
 
-def test_not_repeatable_before_first_token_ends_unknown():
+def test_lost_unrepeatable_request_without_token_fails_as_unknown():
     delivery = Delivery(REQUEST, repeatable=False)
     delivery.bind("g")
     assert delivery.on_generation_lost("died") == [Fail(Outcome.UNKNOWN, "died")]
