--- a/reachlink/delivery/_rhythm.py
+++ b/reachlink/delivery/_rhythm.py
@@ -2,7 +2,7 @@
 
 The interval between batches of events is tracked as a smoothed mean and mean deviation, as
 TCP does for round-trip times [1]_. A stream counts as stalled if no batch arrives within a
-timeout that follows from the two.
+timeout that its own history of intervals determines.
 
 References
 ----------
