--- a/reachlink/entry/_answers.py
+++ b/reachlink/entry/_answers.py
@@ -359,7 +359,7 @@
             except UpstreamHeldBackError as error:
                 # The replica runs on meanwhile, and is not to blame.
                 last = str(error)
-                await asyncio.sleep(min(error.left_s, RESUME_TIMEOUT_S))
+                await asyncio.sleep(min(error.remaining_s, RESUME_TIMEOUT_S))
                 continue
             except (UpstreamError, TimeoutError) as error:
                 last = str(error) or type(error).__name__
--- a/reachlink/entry/_node.py
+++ b/reachlink/entry/_node.py
@@ -89,7 +89,7 @@
             lambda outcome: self.metrics.permits.add(1, {"outcome": outcome}),
         )
         self.client.gate = self.limits
-        self.client.on_limit = self._tell_limits
+        self.client.on_limit_change = self._tell_limits
         records = [InstanceRecord(p.name, p.address, p.availability_zone) for p in config.peers]
         self.limits.update_roster([*records, self._record()], len(records) + 1)
         self.directory.on_started_again(self._on_started_again)
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -89,7 +89,7 @@
         self.book.paces.add_listener(PaceLog().note)
         self.paces = PaceExchange(self.book.paces, self.directory)
         self.client.gate = self.limits
-        self.client.on_limit = self._tell_at_once
+        self.client.on_limit_change = self._tell_at_once
         self._zones = ZonesInForce(self.directory, self.book, self.log)
         adapter = self.adapter = RELAY_ADAPTERS.get(config.upstream)(self.client)
         departures = self._departures = ShutdownTimes()
--- a/reachlink/quarantine/_crash_watch.py
+++ b/reachlink/quarantine/_crash_watch.py
@@ -8,7 +8,7 @@
 from reachlink.kernel import steady_time
 from reachlink.quarantine._fingerprint import fingerprint_text
 from reachlink.telemetry import get_logger
-from reachlink.upstreams import Liveness, Replica, look_again
+from reachlink.upstreams import Liveness, Replica, probe_repeatedly
 
 # Time in seconds after the end of a connection during which a restart of its replica
 # counts as a crash. It is longer than a replica takes to come back after a crash: an
@@ -143,7 +143,7 @@
     async def _look(self, replica: Replica) -> Liveness:
         look = self._looks.get(replica.name)
         if look is None:
-            look = asyncio.create_task(look_again(lambda: self._touch(replica)))
+            look = asyncio.create_task(probe_repeatedly(lambda: self._touch(replica)))
             self._looks[replica.name] = look
             look.add_done_callback(lambda _: self._looks.pop(replica.name, None))
         return await asyncio.shield(look)
--- a/reachlink/requests/_generation_replicas.py
+++ b/reachlink/requests/_generation_replicas.py
@@ -18,7 +18,7 @@
 from reachlink.requests._replica_tracker import Allocation
 from reachlink.requests._request_dispatcher import RequestDispatcher
 from reachlink.requests._shadow_copy import ShadowCopy
-from reachlink.upstreams import MovedMemory, MoveSetback, Replica
+from reachlink.upstreams import MovedMemory, MoveFailure, Replica
 
 # Interval between two checks of a generation's replicas, in seconds.
 CHECK_INTERVAL_S = 0.05
@@ -265,9 +265,9 @@
 
     def _note_failed_shadow(self, shadow: ShadowCopy) -> None:
         """Exclude a target without room; delay the next copy if the source failed."""
-        if shadow.move_failure is MoveSetback.NO_ROOM:
+        if shadow.move_failure is MoveFailure.NO_ROOM:
             self._targets.avoid(shadow.target)
-        elif shadow.move_failure is MoveSetback.NOT_RUNNING:
+        elif shadow.move_failure is MoveFailure.NOT_RUNNING:
             self._no_copy_before = self._dispatch.now() + NOT_RUNNING_DELAY_S
         elif shadow.move_failure is None:
             self._no_copy_before = self._dispatch.now() + SOURCE_FAILURE_DELAY_S
--- a/reachlink/requests/_shadow_copy.py
+++ b/reachlink/requests/_shadow_copy.py
@@ -7,8 +7,8 @@
 
 from reachlink.upstreams import (
     MovedMemory,
+    MoveFailure,
     MoveResult,
-    MoveSetback,
     RelayAdapter,
     Replica,
     UpstreamError,
@@ -59,7 +59,7 @@
         self._refresh_fast = asyncio.Event()
         self._discarded = False
         self._move_in_progress = False
-        self._move_failure: MoveSetback | None = None
+        self._move_failure: MoveFailure | None = None
         self._task = asyncio.create_task(self._run())
 
     @property
@@ -68,7 +68,7 @@
         return self._task.done() and self._memory is None
 
     @property
-    def move_failure(self) -> MoveSetback | None:
+    def move_failure(self) -> MoveFailure | None:
         """Why a transfer was refused; None if none was."""
         return self._move_failure
 
@@ -134,13 +134,13 @@
         if result is None:
             return True
         if not result.arrived:
-            self._move_failure = result.setback
+            self._move_failure = result.failure
             self._log.info(
                 "shadow_refused",
                 request_id=self._request_id,
                 source=self._source.name,
                 target=self._target.name,
-                reason=result.setback.value,
+                reason=result.failure.value,
             )
             return False
         if self._memory is None:
@@ -164,7 +164,7 @@
                 "shadow_waits",
                 request_id=self._request_id,
                 source=self._source.name,
-                backoff_left_s=round(error.left_s, 3),
+                backoff_left_s=round(error.remaining_s, 3),
             )
             return None
         finally:
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -15,7 +15,7 @@
 from reachlink.requests.tests.world import BROKEN, World, answering, stream, world_with_script
 from reachlink.routing import RequestKind
 from reachlink.testing import run_virtually
-from reachlink.upstreams import MovedMemory, MoveResult, MoveSetback
+from reachlink.upstreams import MovedMemory, MoveFailure, MoveResult
 
 MOVED = MoveResult(MovedMemory("m1:1", "h1"), True)
 NOTICE_S = 0.7
@@ -107,13 +107,13 @@
     assert second[0] == primary and second[1] not in (primary, target)
 
 
-@pytest.mark.parametrize("setback", [MoveSetback.UNDER_WAY, MoveSetback.NOT_RUNNING])
+@pytest.mark.parametrize("setback", [MoveFailure.MOVE_IN_PROGRESS, MoveFailure.NOT_RUNNING])
 def test_transfer_rejected_by_source_does_not_mark_target_as_full(setback):
     made = fleet(breaks_after_s=0.3)
     made.zones.clear()
     made.zones.update(m1="a", m2="a")
     made.list_replicas()
-    made.adapter.move_result, made.adapter.move_takes_s = MoveResult(setback=setback), 0.0
+    made.adapter.move_result, made.adapter.move_takes_s = MoveResult(failure=setback), 0.0
 
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM, output_tokens=300))
@@ -131,7 +131,7 @@
 
 def test_replica_without_room_is_not_retried_at_once():
     made = fleet(breaks_after_s=0.1 + NOTICE_S)
-    made.adapter.move_result = MoveResult(setback=MoveSetback.NO_ROOM)
+    made.adapter.move_result = MoveResult(failure=MoveFailure.NO_ROOM)
     made.adapter.move_takes_s = 0.0
 
     async def scenario():
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -24,8 +24,8 @@
     GenerationFacts,
     LoadReport,
     MovedMemory,
+    MoveFailure,
     MoveResult,
-    MoveSetback,
     RelayAdapter,
     RelayAnswer,
     RelayRequest,
@@ -176,7 +176,7 @@
     ) -> MoveResult:
         self.moves.append((replica.name, target.name, last))
         if request_id in self.moving:
-            return MoveResult(setback=MoveSetback.UNDER_WAY)
+            return MoveResult(failure=MoveFailure.MOVE_IN_PROGRESS)
         self.moving.add(request_id)
         try:
             await asyncio.sleep(self.move_takes_s)
--- a/reachlink/upstreams/__init__.py
+++ b/reachlink/upstreams/__init__.py
@@ -20,7 +20,7 @@
 )
 from reachlink.upstreams._events import EventSplitter, StreamEvent
 from reachlink.upstreams._http import LIMIT_HEADER, HttpClient
-from reachlink.upstreams._liveness import Liveness, look, look_again
+from reachlink.upstreams._liveness import Liveness, probe, probe_repeatedly
 from reachlink.upstreams._loads import LoadDecoder
 from reachlink.upstreams._prompts import PromptDigest, digest_prompt
 from reachlink.upstreams._relay import (
@@ -30,8 +30,8 @@
     GenerationFacts,
     Headers,
     MovedMemory,
+    MoveFailure,
     MoveResult,
-    MoveSetback,
     PromptPart,
     RelayAdapter,
     RelayAnswer,
@@ -59,7 +59,7 @@
     "LoadSample",
     "MovedMemory",
     "MoveResult",
-    "MoveSetback",
+    "MoveFailure",
     "PromptPart",
     "RelayAdapter",
     "RelayAnswer",
@@ -92,6 +92,6 @@
     "UpstreamLimitedError",
     "UpstreamUnreachableError",
     "digest_prompt",
-    "look",
-    "look_again",
+    "probe",
+    "probe_repeatedly",
 ]
--- a/reachlink/upstreams/_http.py
+++ b/reachlink/upstreams/_http.py
@@ -94,7 +94,7 @@
         self.gate: LimitGate = LocalGate(steady_time)
         self.limit_header = LIMIT_HEADER
         # Called when a replica names another limit than before, or none any more.
-        self.on_limit: Callable[[], None] = lambda: None
+        self.on_limit_change: Callable[[], None] = lambda: None
         self._max_connections = max_connections
         self._connect_timeout_s = connect_timeout_s
         self._bounded = bounded
@@ -296,7 +296,7 @@
             ends = sent_at is not None and succeeded
             if ends and self.pacing.limits.record_absence(address, sent_at or 0.0, steady_time()):
                 self._log.info("limit_ended", address=address)
-                self.on_limit()
+                self.on_limit_change()
             return
         try:
             per_s = parse_limit(text)
@@ -306,7 +306,7 @@
             return
         if self.pacing.limits.record(address, per_s, steady_time()):
             self._log.info("limit_named", address=address, per_s=per_s)
-            self.on_limit()
+            self.on_limit_change()
 
 
 @contextmanager
--- a/reachlink/upstreams/_liveness.py
+++ b/reachlink/upstreams/_liveness.py
@@ -27,7 +27,7 @@
     SILENT = "silent"
 
 
-async def look(ask: Callable[[], Awaitable[object]]) -> Liveness:
+async def probe(ask: Callable[[], Awaitable[object]]) -> Liveness:
     """Ask a replica something small and return what that shows.
 
     Parameters
@@ -52,13 +52,13 @@
         return Liveness.UP
 
 
-async def look_again(ask: Callable[[], Awaitable[object]]) -> Liveness:
+async def probe_repeatedly(ask: Callable[[], Awaitable[object]]) -> Liveness:
     """Look at a replica some times; return at once where it is down, else the last look."""
     found = Liveness.SILENT
     for number in range(LOOKS):
         if number:
             await asyncio.sleep(PAUSE_S)
-        found = await look(ask)
+        found = await probe(ask)
         if found is Liveness.DOWN:
             return found
     return found
--- a/reachlink/upstreams/_relay.py
+++ b/reachlink/upstreams/_relay.py
@@ -59,12 +59,12 @@
     handle: str
 
 
-class MoveSetback(Enum):
+class MoveFailure(Enum):
     """Why memory was not moved; the value is its code in logs."""
 
     NO_ROOM = "no_room"
     # The source carries out one order about a generation at a time.
-    UNDER_WAY = "under_way"
+    MOVE_IN_PROGRESS = "under_way"
     NOT_RUNNING = "not_running"
 
 
@@ -78,13 +78,13 @@
         From where the generation can go on; None where it was not found.
     arrived : bool
         Whether the target has it; else only a source that stopped can go on.
-    setback : MoveSetback
+    failure : MoveFailure
         Why it has not arrived, where it has not.
     """
 
     memory: MovedMemory | None = None
     arrived: bool = False
-    setback: MoveSetback = MoveSetback.NO_ROOM
+    failure: MoveFailure = MoveFailure.NO_ROOM
 
 
 @dataclass(slots=True, frozen=True)
--- a/reachlink/upstreams/exceptions.py
+++ b/reachlink/upstreams/exceptions.py
@@ -33,7 +33,7 @@
 
     def __init__(self, left_s: float) -> None:
         super().__init__(f"the upstream may get nothing for another {left_s:.3f} s")
-        self.left_s = left_s
+        self.remaining_s = left_s
 
 
 class UpstreamBackoffError(UpstreamHeldBackError):
