--- a/reachlink/settings/__init__.py
+++ b/reachlink/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The tree of operators' settings: inheritance, validation, edits."""
+"""Tree of operator settings: inheritance, validation and edits."""
 
 from reachlink.settings._documents import from_document, to_document
 from reachlink.settings._edits import Change, diff_values
--- a/reachlink/settings/_documents.py
+++ b/reachlink/settings/_documents.py
@@ -1,4 +1,4 @@
-"""The tree as a nested JSON document, and back."""
+"""Conversion of settings between flat values and a nested JSON document."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 def to_document(values: Mapping[str, Any]) -> dict[str, Any]:
-    """Nest flat values.
+    """Convert values by path to a nested document.
 
     Parameters
     ----------
@@ -32,12 +32,23 @@
 
 
 def from_document(document: Mapping[str, Any]) -> dict[str, Any]:
-    """Flatten a nested document.
+    """Convert a nested document to values by path.
+
+    Parameters
+    ----------
+    document : mapping of str to object
+        Nested JSON document.
+
+    Returns
+    -------
+    dict
+        Values by dotted path.
 
     Raises
     ------
     InvalidSettingsError
-        If a branch ends in no setting; every such path is listed.
+        If a leaf of the document is not at the path of a setting; the error
+        lists every such path.
     """
     values: dict[str, Any] = {}
     problems: list[Problem] = []
@@ -62,7 +73,7 @@
 
 
 def _problem_at(path: str) -> Problem | None:
-    """Return why no setting can stand at a path, or None where one can."""
+    """Return why a path is not valid for a setting, or None if it is valid."""
     try:
         parse_path(path)
     except UnknownPathError as error:
--- a/reachlink/settings/_edits.py
+++ b/reachlink/settings/_edits.py
@@ -1,4 +1,4 @@
-"""Changes to settings."""
+"""Changes to individual settings."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -7,16 +7,16 @@
 
 
 class Change(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One value set or unset.
+    """Set or unset one value.
 
     Attributes
     ----------
     path : str
         Dotted path of the setting.
     value : object
-        New value; unused with `unset`.
+        New value; ignored if `unset` is true.
     unset : bool
-        Whether the value is taken away, so that the inherited one counts.
+        Whether to remove the value, so that the inherited value applies.
     """
 
     path: str
@@ -25,7 +25,7 @@
 
 
 def diff_values(old: Mapping[str, Any], new: Mapping[str, Any]) -> list[Change]:
-    """Return the changes that turn one set of values into another, by path."""
+    """Return the changes that turn `old` into `new`, sorted by path."""
     changes: list[Change] = []
     for path in sorted(old.keys() | new.keys()):
         if path not in new:
--- a/reachlink/settings/_keys.py
+++ b/reachlink/settings/_keys.py
@@ -1,4 +1,4 @@
-"""Bearer keys: only their hashes are kept in the settings."""
+"""Bearer keys; the settings store only their hashes."""
 
 import hashlib
 import hmac
@@ -13,13 +13,14 @@
 
 
 def hash_key(key: str) -> str:
-    """Return the SHA-256 of a key, in hex.
+    """Return the SHA-256 digest of a key, in hex.
 
-    Keys are random and long, so that a slow password hash would add nothing.
+    Keys are long and random, so a slow password hash would not make them
+    harder to guess.
     """
     return hashlib.sha256(key.encode()).hexdigest()
 
 
 def key_matches(key: str, key_hash: str) -> bool:
-    """Return whether a key has this hash, in constant time."""
+    """Return whether a key has a given hash, comparing in constant time."""
     return hmac.compare_digest(hash_key(key), key_hash)
--- a/reachlink/settings/_paths.py
+++ b/reachlink/settings/_paths.py
@@ -1,4 +1,4 @@
-"""Paths in the tree, such as ``services.explain.workspaces.w1.limits.concurrent``."""
+"""Paths of settings, such as ``services.explain.workspaces.w1.limits.concurrent``."""
 
 import difflib
 import re
@@ -15,7 +15,10 @@
 
 
 class Scope(Enum):
-    """Level of the tree at which a value stands."""
+    """Level of the tree at which a value is set.
+
+    Each value is the pattern of the paths of that level.
+    """
 
     DEFAULTS = "defaults"
     SITE = "sites.{site}"
@@ -30,9 +33,16 @@
 
 @dataclass(slots=True, frozen=True)
 class SettingPath:
-    """A parsed path.
+    """Parsed path of a setting.
 
-    Names that the scope lacks are empty.
+    Attributes
+    ----------
+    scope : Scope
+        Level of the tree.
+    setting : Setting
+        Definition of the setting.
+    service, workspace, site, operator : str
+        Names in the path; empty if the scope does not include them.
     """
 
     scope: Scope
@@ -52,7 +62,7 @@
         return f"{self.scope.value.format(**names)}.{self.setting.name}"
 
 
-# The longest scope first: a shorter one also matches the start of its paths.
+# Longest scopes first, since a shorter scope also matches the start of their paths.
 _SCOPE_PARTS = sorted(
     ((scope, scope.value.split(".")) for scope in Scope), key=lambda item: -len(item[1])
 )
@@ -60,22 +70,24 @@
 
 @lru_cache(maxsize=PARSED_PATHS)
 def parse_path(text: str) -> SettingPath:
-    """Parse a dotted path; results are remembered, since every edit checks them all.
+    """Parse a dotted path.
+
+    Results are cached, since every edit parses the paths of all values.
 
     Parameters
     ----------
     text : str
-        Path to a single setting.
+        Dotted path of a single setting.
 
     Returns
     -------
     SettingPath
-        The scope, the names in it, and the setting.
+        Scope, names in the path, and definition of the setting.
 
     Raises
     ------
     UnknownPathError
-        If no such path can exist.
+        If the text is not a valid path of a known setting.
     """
     parts = text.split(".")
     for scope, pattern in _SCOPE_PARTS:
--- a/reachlink/settings/_schema.py
+++ b/reachlink/settings/_schema.py
@@ -1,4 +1,4 @@
-"""Every setting: its type, range, default, unit and where in the tree it may stand."""
+"""Definitions of all settings: type, range, default, unit and allowed levels of the tree."""
 
 from dataclasses import dataclass
 from typing import Annotated, Any, Literal
@@ -46,15 +46,15 @@
     Attributes
     ----------
     name : str
-        Last part of its path; may hold a dot.
+        Last part of its path; may contain a dot.
     type : type
-        Type with its constraints, as `msgspec` reads it.
+        Type with its constraints, as `msgspec` validates it.
     default : object
-        Value in force where the tree has none.
+        Value that applies if the tree has none.
     scopes : frozenset of str
-        Names of the `Scope` members where it may stand.
+        Names of the `Scope` members in which it may be set.
     description : str
-        One sentence, with the unit.
+        One sentence that includes the unit.
     """
 
     name: str
--- a/reachlink/settings/_tree.py
+++ b/reachlink/settings/_tree.py
@@ -1,9 +1,9 @@
-"""The settings at one revision: sparse values, resolved on use.
+"""Settings at one revision: explicit values, with inheritance resolved on access.
 
-Only the values that operators set are held, by path. What a request needs is
-resolved through the levels above it and remembered in a bounded cache, so
-that memory grows with the values set and not with services x workspaces x
-sites.
+The tree stores only the values that operators set, by path. The values that
+apply to a request are looked up from the most specific level to the most
+general one and kept in a cache of bounded size. Memory therefore grows with
+the number of values set and not with services x workspaces x sites.
 """
 
 from collections import OrderedDict
@@ -51,21 +51,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Origin:
-    """A value in force and the path that it comes from."""
+    """Effective value of a setting and its origin.
+
+    Attributes
+    ----------
+    value : object
+        Value that applies.
+    path : str
+        Path at which the value is set, or `BUILT_IN_DEFAULT`.
+    """
 
     value: Any
     path: str
 
 
 class SettingsTree:
-    """Immutable settings at one revision.
+    """Settings at one revision; immutable.
 
     Parameters
     ----------
     values : mapping of str to object
         Values by dotted path.
     revision : int
-        Number of the accepted edit that made them.
+        Number of the accepted edit that produced the values.
     """
 
     def __init__(self, values: Mapping[str, Any] | None = None, revision: int = 0) -> None:
@@ -75,7 +83,7 @@
 
     @property
     def revision(self) -> int:
-        """Number of the accepted edit that made these values."""
+        """Number of the accepted edit that produced the values."""
         return self._revision
 
     @property
@@ -85,12 +93,12 @@
 
     @property
     def routing(self) -> PublishedTable | None:
-        """The routing table as it was published, if there is one."""
+        """Published routing table; None if there is none."""
         value = self._values.get(ROUTING_PATH)
         return msgspec.convert(value, PublishedTable) if value is not None else None
 
     def with_changes(self, changes: Iterable[Change], revision: int) -> "SettingsTree":
-        """Return the tree with changes that were accepted before, unchecked."""
+        """Return the tree after changes that were already accepted, without validation."""
         values = dict(self._values)
         for change in changes:
             if change.unset:
@@ -100,12 +108,12 @@
         return SettingsTree(values, revision)
 
     def edited(self, changes: Iterable[Change], revision: int) -> "SettingsTree":
-        """Return the tree after an edit, checked as a whole.
+        """Return the tree after an edit, validated as a whole.
 
         Raises
         ------
         InvalidSettingsError
-            With every problem found.
+            If a change or a resulting value is invalid; the error lists the problems.
         """
         changes = list(changes)
         problems = check_changes(changes)
@@ -118,14 +126,19 @@
         return tree
 
     def explain(self, service: str, workspace: str, site: str, name: str) -> Origin:
-        """Return a value in force and where it comes from.
+        """Return the effective value of a setting and its origin.
 
         Parameters
         ----------
         service, workspace, site : str
-            Any of them may be empty, which skips their levels.
+            Names to resolve for; the levels of an empty name are skipped.
         name : str
-            Setting, such as ``limits.concurrent``.
+            Name of the setting, such as ``limits.concurrent``.
+
+        Returns
+        -------
+        Origin
+            Value from the most specific level that has one, else the default.
         """
         for level in _levels(service, workspace, site):
             path = f"{level}.{name}"
@@ -134,7 +147,7 @@
         return Origin(setting_named(name).default, BUILT_IN)
 
     def explain_path(self, text: str) -> Origin:
-        """Return what is in force at a path, inherited or not.
+        """Return the effective value at a path and its origin, inherited or not.
 
         Raises
         ------
@@ -147,7 +160,7 @@
         return self.explain(path.service, path.workspace, path.site, path.setting.name)
 
     def policy(self, service: str, workspace: str, site: str) -> ServicePolicy:
-        """Return every inherited value in force, from a bounded cache."""
+        """Return the effective values of all inherited settings, from a cache of bounded size."""
         key = (service, workspace, site)
         found = self._policies.get(key)
         if found is None:
@@ -160,7 +173,7 @@
         return found
 
     def service(self, name: str) -> ServiceInfo:
-        """Return what a service is.
+        """Return the definition of a service.
 
         Raises
         ------
@@ -179,7 +192,7 @@
 
     @cached_property
     def zone_orders(self) -> dict[str, ZoneOrder]:
-        """The last order about each availability zone that there was one about."""
+        """Last order for each availability zone that has one, by zone."""
         return {
             path.split(".")[1]: msgspec.convert(value, ZoneOrder)
             for path, value in self._values.items()
@@ -188,16 +201,16 @@
 
     @property
     def zones_out_of_service(self) -> frozenset[str]:
-        """Availability zones whose replicas get nothing more."""
+        """Availability zones out of service: nothing further is sent to their replicas."""
         return frozenset(zone for zone, order in self.zone_orders.items() if order.out_of_service)
 
     @cached_property
     def workspace_by_key(self) -> dict[str, str]:
         """Workspace names by key hash.
 
-        A lookup by the hash of a presented key tells nothing of the key
-        itself by its duration, since the hash cannot be steered towards
-        another one.
+        The duration of a lookup by the hash of a presented key reveals nothing
+        about the valid keys, since a caller cannot choose a key whose hash
+        comes close to a given one.
         """
         return {
             key_hash: path.split(".")[1]
@@ -219,7 +232,7 @@
 
     @property
     def audit_keep(self) -> int:
-        """How many audit records are kept."""
+        """Number of audit records that are kept."""
         value: int = self.explain("", "", "", "audit.keep").value
         return value
 
@@ -243,7 +256,7 @@
 
 
 def _levels(service: str, workspace: str, site: str) -> list[str]:
-    """Return the levels that a value is looked up in, the most specific first."""
+    """Return the path prefixes at which a value is looked up, most specific first."""
     levels: list[str] = []
     if service and workspace and site:
         levels.append(f"services.{service}.workspaces.{workspace}.sites.{site}")
--- a/reachlink/settings/_validation.py
+++ b/reachlink/settings/_validation.py
@@ -1,4 +1,4 @@
-"""Validation of settings as a whole; every problem is reported at once."""
+"""Validation of settings; all problems are reported together, up to `MAX_PROBLEMS`."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -15,14 +15,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """One thing that is wrong, and where."""
+    """One invalid setting.
+
+    Attributes
+    ----------
+    path : str
+        Dotted path of the setting.
+    message : str
+        Reason why it is invalid.
+    """
 
     path: str
     message: str
 
 
 def check_changes(changes: Iterable[Change]) -> list[Problem]:
-    """Check each change by itself: its path, type and range."""
+    """Validate the path, type and range of each change, and that no path occurs twice."""
     problems: list[Problem] = []
     seen: set[str] = set()
     for change in changes:
@@ -34,7 +42,7 @@
 
 
 def check_values(values: Mapping[str, Any]) -> list[Problem]:
-    """Check what spans several values: references and uniqueness."""
+    """Validate rules that span several values: references and uniqueness."""
     paths = {text: parse_path(text) for text in values}
     problems = _unknown_references(paths)
     problems.extend(_shared_keys(paths, values))
--- a/reachlink/settings/_zone_orders.py
+++ b/reachlink/settings/_zone_orders.py
@@ -1,4 +1,4 @@
-"""Operators' orders that take an availability zone out of service, and back."""
+"""Operators' orders that take an availability zone out of service or return it to service."""
 
 import msgspec
 
@@ -6,20 +6,21 @@
 
 
 class ZoneOrder(msgspec.Struct, frozen=True):
-    """The last order about an availability zone.
+    """Last order for an availability zone.
 
     Attributes
     ----------
     out_of_service : bool
-        Whether nothing more is sent to the zone's replicas.
+        Whether the zone is out of service, so that nothing further is sent to
+        its replicas.
     revision : int
-        Revision of the settings that the order made.
+        Revision of the settings that the order produced.
     since : float
-        When it was given, in wall-clock seconds.
+        Wall-clock time of the order, in seconds since the epoch.
     by : str
-        Operator who gave it.
+        Operator who gave the order.
     reason : str
-        Why, in the operator's words.
+        Reason given by the operator.
     """
 
     out_of_service: bool
@@ -30,5 +31,5 @@
 
 
 def zone_order_path(zone: str) -> str:
-    """Return the path of a zone's order in the tree."""
+    """Return the path of the order for a zone in the settings tree."""
     return f"sites.{zone}.{ZONE_ORDER}"
--- a/reachlink/settings/exceptions.py
+++ b/reachlink/settings/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the settings layer."""
+"""Errors raised by the settings package."""
 
 from reachlink.kernel import ReachlinkError
 
@@ -6,20 +6,23 @@
 
 
 class SettingsError(ReachlinkError):
-    """Base class of the errors of this layer."""
+    """Base class of the errors of the settings package."""
 
 
 class UnknownPathError(SettingsError):
-    """A path names no setting; the message suggests the nearest one."""
+    """A path names no setting, or a service does not exist.
+
+    For a misspelled path the message suggests the closest name.
+    """
 
 
 class InvalidSettingsError(SettingsError):
-    """Settings were refused.
+    """Settings are invalid.
 
     Parameters
     ----------
     problems : sequence of Problem
-        Everything that is wrong, each with its path.
+        All problems found, each with its path.
     """
 
     def __init__(self, problems: list) -> None:
--- a/reachlink/settings/tests/__init__.py
+++ b/reachlink/settings/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the settings package."""
--- a/reachlink/settings/tests/test_tree.py
+++ b/reachlink/settings/tests/test_tree.py
@@ -1,4 +1,4 @@
-"""Inheritance, validation and documents."""
+"""Tests of inheritance, validation, edits and documents."""
 
 import pytest
 
