--- a/reachlink/settings/_paths.py
+++ b/reachlink/settings/_paths.py
@@ -9,7 +9,7 @@
 from reachlink.settings._schema import SETTINGS, Setting
 from reachlink.settings.exceptions import UnknownPathError
 
-PARSED_PATHS = 32_768
+PATH_CACHE_SIZE = 32_768
 
 _NAME = re.compile(r"[^\W_][\w-]{0,62}")
 
@@ -68,7 +68,7 @@
 )
 
 
-@lru_cache(maxsize=PARSED_PATHS)
+@lru_cache(maxsize=PATH_CACHE_SIZE)
 def parse_path(text: str) -> SettingPath:
     """Parse a dotted path.
 
@@ -91,13 +91,13 @@
     """
     parts = text.split(".")
     for scope, pattern in _SCOPE_PARTS:
-        names = _match(pattern, parts)
+        names = _match_scope(pattern, parts)
         if names is not None:
-            return _finish(text, scope, names, ".".join(parts[len(pattern) :]))
-    raise UnknownPathError(f"{text!r} is not a path to a setting{_hint(parts[0])}")
+            return _make_setting_path(text, scope, names, ".".join(parts[len(pattern) :]))
+    raise UnknownPathError(f"{text!r} is not a path to a setting{_suggest_first_part(parts[0])}")
 
 
-def _match(pattern: list[str], parts: list[str]) -> dict[str, str] | None:
+def _match_scope(pattern: list[str], parts: list[str]) -> dict[str, str] | None:
     if len(parts) <= len(pattern):
         return None
     names: dict[str, str] = {}
@@ -109,14 +109,14 @@
     return names
 
 
-def _finish(text: str, scope: Scope, names: dict[str, str], leaf: str) -> SettingPath:
+def _make_setting_path(text: str, scope: Scope, names: dict[str, str], leaf: str) -> SettingPath:
     for kind, name in names.items():
         if not _NAME.fullmatch(name):
             raise UnknownPathError(f"{text!r}: {name!r} is not a valid name of a {kind}")
     setting = SETTINGS.get(leaf)
     if setting is None:
-        near = difflib.get_close_matches(leaf, _allowed_in(scope), n=1)
-        hint = f"; did you mean {near[0]!r}?" if near else ""
+        matches = difflib.get_close_matches(leaf, _settings_allowed_in(scope), n=1)
+        hint = f"; did you mean {matches[0]!r}?" if matches else ""
         raise UnknownPathError(f"{text!r}: there is no setting {leaf!r}{hint}")
     if scope.name not in setting.scopes:
         places = ", ".join(sorted(setting.scopes)).lower()
@@ -124,10 +124,10 @@
     return SettingPath(scope, setting, **names)
 
 
-def _allowed_in(scope: Scope) -> list[str]:
+def _settings_allowed_in(scope: Scope) -> list[str]:
     return [name for name, setting in SETTINGS.items() if scope.name in setting.scopes]
 
 
-def _hint(first: str) -> str:
-    near = difflib.get_close_matches(first, {parts[0] for _, parts in _SCOPE_PARTS}, n=1)
-    return f"; did you mean {near[0]!r}?" if near and near[0] != first else ""
+def _suggest_first_part(first: str) -> str:
+    matches = difflib.get_close_matches(first, {parts[0] for _, parts in _SCOPE_PARTS}, n=1)
+    return f"; did you mean {matches[0]!r}?" if matches and matches[0] != first else ""
--- a/reachlink/settings/_schema.py
+++ b/reachlink/settings/_schema.py
@@ -64,7 +64,7 @@
     description: str
 
 
-_ALL = [
+_DEFINITIONS = [
     Setting("kind", Literal["model", "plain"], "model", _SERVICE, "Model engines or plain."),
     Setting("adapter", Name, "", _SERVICE, "Upstream adapter; empty for the kind's usual one."),
     Setting("upstream", Name, "", _SERVICE, "Upstream in the platform list; default: its name."),
@@ -101,7 +101,7 @@
     Setting("audit.keep", Positive, 20_000, _DEFAULTS, "Audit records that are kept."),
 ]
 
-SETTINGS: dict[str, Setting] = {setting.name: setting for setting in _ALL}
+SETTINGS: dict[str, Setting] = {setting.name: setting for setting in _DEFINITIONS}
 
 
 def setting_named(name: str) -> Setting:
--- a/reachlink/settings/_tree.py
+++ b/reachlink/settings/_tree.py
@@ -23,11 +23,11 @@
 from reachlink.settings._zone_orders import ZONE_ORDER, ZoneOrder
 from reachlink.settings.exceptions import InvalidSettingsError, UnknownPathError
 
-CACHE_SIZE = 512
-BUILT_IN = "built-in default"
+POLICY_CACHE_SIZE = 512
+BUILT_IN_DEFAULT = "built-in default"
 ROUTING_PATH = "routing.table"
 
-_USUAL_ADAPTERS = {ServiceKind.MODEL: "chat-engine", ServiceKind.PLAIN: "plain-service"}
+_DEFAULT_ADAPTERS = {ServiceKind.MODEL: "chat-engine", ServiceKind.PLAIN: "plain-service"}
 _POLICY_FIELDS = [
     "repeatable",
     "priority",
@@ -140,11 +140,11 @@
         Origin
             Value from the most specific level that has one, else the default.
         """
-        for level in _levels(service, workspace, site):
-            path = f"{level}.{name}"
+        for prefix in _lookup_prefixes(service, workspace, site):
+            path = f"{prefix}.{name}"
             if path in self._values:
                 return Origin(self._values[path], path)
-        return Origin(setting_named(name).default, BUILT_IN)
+        return Origin(setting_named(name).default, BUILT_IN_DEFAULT)
 
     def explain_path(self, text: str) -> Origin:
         """Return the effective value at a path and its origin, inherited or not.
@@ -168,7 +168,7 @@
                 *(self.explain(service, workspace, site, name).value for name in _POLICY_FIELDS)
             )
             self._policies[key] = found
-            if len(self._policies) > CACHE_SIZE:
+            if len(self._policies) > POLICY_CACHE_SIZE:
                 self._policies.popitem(last=False)
         return found
 
@@ -237,36 +237,36 @@
         return value
 
     def _read_service(self, name: str) -> ServiceInfo:
-        def own(setting: str) -> Any:
+        def read_own_value(setting: str) -> Any:
             path = f"{Scope.SERVICE.value.format(service=name)}.{setting}"
             return self._values.get(path, SETTINGS[setting].default)
 
-        kind = ServiceKind(own("kind"))
+        kind = ServiceKind(read_own_value("kind"))
         return ServiceInfo(
             name=name,
             kind=kind,
-            adapter=own("adapter") or _USUAL_ADAPTERS[kind],
-            upstream=own("upstream") or name,
-            model=own("model") or name,
-            versions=tuple(own("versions")),
-            path=own("path") or f"/{name}",
-            checks_fencing=own("checks_fencing"),
-            min_replicas=own("replicas.min"),
+            adapter=read_own_value("adapter") or _DEFAULT_ADAPTERS[kind],
+            upstream=read_own_value("upstream") or name,
+            model=read_own_value("model") or name,
+            versions=tuple(read_own_value("versions")),
+            path=read_own_value("path") or f"/{name}",
+            checks_fencing=read_own_value("checks_fencing"),
+            min_replicas=read_own_value("replicas.min"),
         )
 
 
-def _levels(service: str, workspace: str, site: str) -> list[str]:
+def _lookup_prefixes(service: str, workspace: str, site: str) -> list[str]:
     """Return the path prefixes at which a value is looked up, most specific first."""
-    levels: list[str] = []
+    prefixes: list[str] = []
     if service and workspace and site:
-        levels.append(f"services.{service}.workspaces.{workspace}.sites.{site}")
+        prefixes.append(f"services.{service}.workspaces.{workspace}.sites.{site}")
     if service and workspace:
-        levels.append(f"services.{service}.workspaces.{workspace}")
+        prefixes.append(f"services.{service}.workspaces.{workspace}")
     if workspace:
-        levels.append(f"workspaces.{workspace}")
+        prefixes.append(f"workspaces.{workspace}")
     if service and site:
-        levels.append(f"services.{service}.sites.{site}")
+        prefixes.append(f"services.{service}.sites.{site}")
     if service:
-        levels.append(f"services.{service}")
-    levels.append("defaults")
-    return levels
+        prefixes.append(f"services.{service}")
+    prefixes.append("defaults")
+    return prefixes
--- a/reachlink/settings/_validation.py
+++ b/reachlink/settings/_validation.py
@@ -37,20 +37,20 @@
         if change.path in seen:
             problems.append(Problem(change.path, "is changed twice in one edit"))
         seen.add(change.path)
-        problems.extend(_check_one(change))
+        problems.extend(_check_change(change))
     return problems[:MAX_PROBLEMS]
 
 
 def check_values(values: Mapping[str, Any]) -> list[Problem]:
     """Validate rules that span several values: references and uniqueness."""
     paths = {text: parse_path(text) for text in values}
-    problems = _unknown_references(paths)
-    problems.extend(_shared_keys(paths, values))
-    problems.extend(_shared_routes(paths, values))
+    problems = _find_unknown_references(paths)
+    problems.extend(_find_duplicate_keys(paths, values))
+    problems.extend(_find_duplicate_routes(paths, values))
     return problems[:MAX_PROBLEMS]
 
 
-def _check_one(change: Change) -> list[Problem]:
+def _check_change(change: Change) -> list[Problem]:
     try:
         path = parse_path(change.path)
     except UnknownPathError as error:
@@ -64,7 +64,7 @@
     return []
 
 
-def _unknown_references(paths: Mapping[str, SettingPath]) -> list[Problem]:
+def _find_unknown_references(paths: Mapping[str, SettingPath]) -> list[Problem]:
     sites = {p.site for p in paths.values() if p.scope is Scope.SITE}
     workspaces = {p.workspace for p in paths.values() if p.scope is Scope.WORKSPACE}
     services = {p.service for p in paths.values() if p.scope is Scope.SERVICE}
@@ -79,7 +79,9 @@
     return problems
 
 
-def _shared_keys(paths: Mapping[str, SettingPath], values: Mapping[str, Any]) -> list[Problem]:
+def _find_duplicate_keys(
+    paths: Mapping[str, SettingPath], values: Mapping[str, Any]
+) -> list[Problem]:
     owner: dict[str, str] = {}
     problems: list[Problem] = []
     for text, path in paths.items():
@@ -92,7 +94,9 @@
     return problems
 
 
-def _shared_routes(paths: Mapping[str, SettingPath], values: Mapping[str, Any]) -> list[Problem]:
+def _find_duplicate_routes(
+    paths: Mapping[str, SettingPath], values: Mapping[str, Any]
+) -> list[Problem]:
     owner: dict[tuple[str, str], str] = {}
     problems: list[Problem] = []
     for text, path in paths.items():
--- a/reachlink/settings/tests/test_tree.py
+++ b/reachlink/settings/tests/test_tree.py
@@ -52,7 +52,7 @@
     assert tree.explain_path("services.explain.priority").path == "built-in default"
 
 
-def test_unset_gives_the_inherited_value_back():
+def test_unset_restores_the_inherited_value():
     tree = SettingsTree(VALUES, 1)
     changed = tree.edited([Change("services.explain.limits.concurrent", unset=True)], 2)
     assert changed.policy("explain", "", "").concurrent == 10
@@ -68,7 +68,7 @@
         ("defaults", "not a path"),
     ],
 )
-def test_unknown_paths_are_explained(path, hint):
+def test_unknown_path_error_states_the_cause(path, hint):
     with pytest.raises(UnknownPathError, match=hint):
         parse_path(path)
 
@@ -84,7 +84,7 @@
         ("workspaces.w2.key_hashes", [hash_key("one")], "has a key that"),
     ],
 )
-def test_bad_values_are_refused_with_their_path(path, value, message):
+def test_invalid_values_are_rejected_with_their_path(path, value, message):
     with pytest.raises(InvalidSettingsError, match=message) as caught:
         SettingsTree(VALUES, 1).edited([Change(path, value)], 2)
     assert path in {p.path for p in caught.value.problems}
@@ -94,14 +94,14 @@
     assert from_document(to_document(VALUES)) == VALUES
 
 
-def test_diff_leads_from_one_to_the_other():
+def test_diff_turns_old_values_into_new_ones():
     new = {**VALUES, "defaults.priority": 7}
     del new["sites.sal-en.region"]
     tree = SettingsTree(VALUES, 1).with_changes(diff_values(VALUES, new), 2)
     assert dict(tree.values) == new
 
 
-def test_memory_grows_with_values_set_and_not_with_resolved_ones():
+def test_cache_of_resolved_policies_is_bounded():
     tree = SettingsTree(VALUES, 1)
     for i in range(5000):
         tree.policy("explain", f"w{i}", "sal-en")
