--- a/reachlink/agreement/__init__.py
+++ b/reachlink/agreement/__init__.py
@@ -1,4 +1,4 @@
-"""The replicated log: election, quorum, snapshots, membership change, storage."""
+"""Raft replicated log: elections, replication, snapshots, membership changes, storage."""
 
 from reachlink.agreement._core import Core
 from reachlink.agreement._files import Files
--- a/reachlink/agreement/_core.py
+++ b/reachlink/agreement/_core.py
@@ -1,7 +1,7 @@
-"""One replica of the log: events in, effects out; pure but for its own state.
+"""Deterministic state machine of one replica of the log; it does no I/O.
 
-The shell passes the time in with every event, carries the effects out in
-their stated order, and calls `tick` no later than `next_due`.
+The caller passes the current time with every event, executes the effects in
+the order documented in `Effects`, and calls `tick` no later than `next_due`.
 """
 
 from collections.abc import Sequence
@@ -32,22 +32,22 @@
     Parameters
     ----------
     node_id : str
-        Identity of this replica, never used again after its disk was lost.
+        Identity of this replica. It must not be reused after the disk is lost.
     log : Log
-        Log as it was on disk.
+        Log loaded from disk.
     term : int
-        Term as it was on disk.
+        Term loaded from disk.
     voted_for : str
-        Vote in that term as it was on disk.
+        Candidate voted for in that term, loaded from disk; empty if none.
     timing : Timing
-        Durations.
+        Heartbeat interval, election timeouts and clock drift bound.
     random : random.Random
-        Source of election time-outs.
+        Random generator for election timeouts.
     now : float
-        Monotonic time in seconds.
+        Current monotonic time in seconds.
     started_at : float, optional
-        When the process of this replica started, in monotonic seconds: what an
-        earlier one acknowledged it did before. `now` where it is not known.
+        Monotonic time in seconds at which this process started. Any lease
+        acknowledged by an earlier process predates it. Defaults to `now`.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
     ) -> None:
         state = ReplicaState(node_id, timing, random, log, term, voted_for)
         state.commit = log.snapshot_index
-        # A restarted replica may have acknowledged a lease just before.
+        # The previous process may have acknowledged a lease just before the restart.
         state.heard_leader_at = now if started_at is None else started_at
         state.refresh_members()
         election.set_first_election(state, now)
@@ -71,29 +71,29 @@
 
     @property
     def state(self) -> ReplicaState:
-        """The state, to be read only."""
+        """State of the replica; callers must not modify it."""
         return self._state
 
     @property
     def is_leader(self) -> bool:
-        """Whether this replica leads."""
+        """Whether this replica is the leader."""
         return self._state.role is Role.LEADER
 
     def take_effects(self) -> Effects:
-        """Return what the shell must do for the events since the last call."""
+        """Return and clear the effects of the events since the last call."""
         return self._state.take_effects()
 
     def next_due(self) -> float:
-        """Return when `tick` must be called at the latest."""
+        """Return the monotonic time in seconds by which `tick` must be called."""
         state = self._state
         return state.heartbeat_due if self.is_leader else state.election_due
 
     def lease_until(self) -> float:
-        """Return until when this leader is certain that no other one exists."""
+        """Return the monotonic time in seconds at which the leader lease expires."""
         return election.lease_until(self._state)
 
     def tick(self, now: float) -> None:
-        """Let time pass."""
+        """Start an election, or check the quorum and send heartbeats, if one is due."""
         state = self._state
         if not self.is_leader:
             if now >= state.election_due:
@@ -106,7 +106,7 @@
                 replication.broadcast(state, now)
 
     def receive(self, sender: str, message: Message, now: float) -> None:
-        """Take a message of another replica."""
+        """Process a message from another replica."""
         newer = getattr(message, "term", 0) > self._state.term
         if newer and isinstance(message, AppendReply):
             election.follow(self._state, message.term, "", now)
@@ -114,12 +114,12 @@
         self._open_term(now)
 
     def propose(self, commands: Sequence[bytes], now: float) -> list[int]:
-        """Add commands to the log and return their indexes.
+        """Append commands to the log and return their indexes.
 
         Raises
         ------
         NotLeaderError
-            If this replica does not lead.
+            If this replica is not the leader.
         """
         self._require_leader()
         added = [replication.append_own(self._state, EntryKind.COMMAND, c) for c in commands]
@@ -128,16 +128,16 @@
         return [entry.index for entry in added]
 
     def propose_members(self, members: Sequence[Member], now: float) -> int:
-        """Add a new membership to the log and return its index.
+        """Append a new membership to the log and return its index.
 
-        At most one replica may come, go, or change whether it votes, and the
-        previous change must be committed. A replica becomes a voter only
-        once it holds everything that is committed.
+        Exactly one replica may be added, removed or changed, and the previous
+        membership change must be committed. A replica can become a voter only
+        once it has all committed entries.
 
         Raises
         ------
         NotLeaderError
-            If this replica does not lead.
+            If this replica is not the leader.
         MembershipChangeError
             If the change is not allowed now.
         """
@@ -151,12 +151,12 @@
         return entry.index
 
     def compact(self, index: int) -> None:
-        """Drop entries up to `index`, which a snapshot on disk covers."""
+        """Drop the entries up to `index`, which a snapshot covers."""
         _, members = self._state.log.members_at(index)
         self._state.log.compact(index, members)
 
     def snapshot_message(self, data: bytes, now: float) -> SnapshotRequest:
-        """Return the message that carries the latest snapshot."""
+        """Return a message that sends the latest snapshot, serialized in `data`."""
         state = self._state
         return SnapshotRequest(
             state.term,
@@ -169,13 +169,16 @@
         )
 
     def step_down_if_removed(self, now: float) -> None:
-        """Stop to lead once a membership without this replica is committed."""
+        """Step down once a committed membership excludes this leader from the voters."""
         state = self._state
         if self.is_leader and not state.is_voter and state.members_index <= state.commit:
             election.follow(state, state.term, "", now)
 
     def _open_term(self, now: float) -> None:
-        """Commit an empty entry at the start of a term, as its first act."""
+        """Append an empty entry as the first entry of a leader's term.
+
+        Committing it also commits the entries of earlier terms.
+        """
         state = self._state
         if not self.is_leader or state.log.last_index >= state.term_start_index:
             return
@@ -204,7 +207,10 @@
         self._check_majority_alive(members, now)
 
     def _check_majority_alive(self, members: Sequence[Member], now: float) -> None:
-        """Refuse a membership that could not decide anything, not even to undo itself."""
+        """Reject a membership without a reachable majority of voters.
+
+        Such a membership could commit nothing, not even its own reversal.
+        """
         voters = [m.node_id for m in members if m.voting]
         alive = [v for v in voters if self._heard_recently(v, now)]
         if len(alive) <= len(voters) // 2:
@@ -217,7 +223,7 @@
         progress = state.progress.get(node)
         if progress is None:
             return False
-        # Not `heard_at`, which a new leader presets to give everyone time.
+        # Not the time of the last reply, which a new leader initializes to its election.
         return now - progress.acked_sent_at < state.timing.election_max_s
 
     def _check_caught_up(
--- a/reachlink/agreement/_election.py
+++ b/reachlink/agreement/_election.py
@@ -1,4 +1,4 @@
-"""Elections with pre-vote, leader stickiness and check-quorum; pure.
+"""Raft elections with pre-vote, leader stickiness and check-quorum; no I/O.
 
 References
 ----------
@@ -11,17 +11,19 @@
 
 
 def reset_election_timer(state: ReplicaState, now: float) -> None:
-    """Wait a fresh random time before the next election."""
+    """Schedule the next election after a new random timeout."""
     timing = state.timing
     wait = state.random.uniform(timing.election_min_s, timing.election_max_s)
     state.election_due = now + wait
 
 
 def set_first_election(state: ReplicaState, now: float) -> None:
-    """Stand soon after a start, once no lease can be left that this replica acknowledged.
+    """Schedule the first election after a start.
 
-    Where a leader lives, the others refuse the trial vote; where all replicas
-    start at once, none has to wait for one.
+    It follows a short random delay, but not before any lease that this replica
+    may have acknowledged has expired. If a leader exists, the other replicas
+    reject the pre-vote; if all replicas start together, one is elected without
+    a full election timeout.
     """
     free = state.heard_leader_at + state.timing.election_min_s
     wait = state.random.uniform(
@@ -31,7 +33,7 @@
 
 
 def follow(state: ReplicaState, term: int, leader: str, now: float) -> None:
-    """Become a follower, in a newer term if `term` is newer."""
+    """Become a follower, and adopt `term` if it is newer."""
     if term > state.term:
         state.term = term
         state.voted_for = ""
@@ -44,7 +46,7 @@
 
 
 def hear_leader(state: ReplicaState, term: int, leader: str, now: float) -> None:
-    """A valid message of the leader of this term, or of a newer one, came."""
+    """Record a valid message from the leader of this term or a newer one."""
     if term > state.term or state.role is not Role.FOLLOWER or state.leader != leader:
         follow(state, term, leader, now)
     state.heard_leader_at = now
@@ -52,7 +54,7 @@
 
 
 def on_election_due(state: ReplicaState, now: float) -> None:
-    """The election time-out ran out: ask whether an election could be won."""
+    """Request pre-votes when the election timeout expires."""
     reset_election_timer(state, now)
     if not state.may_stand:
         return
@@ -62,7 +64,7 @@
 
 
 def on_vote_request(state: ReplicaState, request: VoteRequest, now: float) -> None:
-    """Grant a vote, or say whether one would be granted."""
+    """Answer a vote or pre-vote request."""
     granted = _may_vote(state, request, now)
     if not request.trial and not _hears_leader(state, now) and request.term > state.term:
         follow(state, request.term, "", now)
@@ -75,7 +77,7 @@
 
 
 def on_vote_reply(state: ReplicaState, sender: str, reply: VoteReply, now: float) -> None:
-    """Count a vote."""
+    """Count a granted vote or pre-vote; step down if the reply has a newer term."""
     if reply.term > state.term and not (reply.trial and reply.granted):
         follow(state, reply.term, "", now)
         return
@@ -88,7 +90,7 @@
 
 
 def check_quorum(state: ReplicaState, now: float) -> None:
-    """Step down where no majority was heard for an election time-out."""
+    """Step down if no majority replied within the maximum election timeout."""
     heard = [p.heard_at for node, p in state.progress.items() if node in state.voters]
     alive = sum(1 for at in heard if now - at < state.timing.election_max_s)
     alive += 1 if state.is_voter else 0
@@ -97,11 +99,11 @@
 
 
 def lease_until(state: ReplicaState) -> float:
-    """Return until when no other replica can have been elected.
+    """Return the monotonic time before which no other leader can be elected.
 
     A majority that acknowledged a message sent at time t grants no vote
-    before t plus the shortest election time-out, by its own clocks; the
-    drift bound is taken off.
+    before t plus the minimum election timeout, measured by its own clocks.
+    The timeout is reduced by the clock drift bound.
     """
     if state.role is not Role.LEADER:
         return float("-inf")
--- a/reachlink/agreement/_files.py
+++ b/reachlink/agreement/_files.py
@@ -1,11 +1,11 @@
-"""The few file operations that storage needs, in one place so that tests can fail them."""
+"""File operations of `Storage`; tests replace them to inject disk faults."""
 
 import os
 from pathlib import Path
 
 
 class Files:
-    """Plain files; nothing lasts until `sync`."""
+    """Operations on regular files; appended data is durable only after `sync`."""
 
     def open_append(self, path: Path) -> int:
         """Open or create a file for appending and return its descriptor."""
@@ -18,11 +18,11 @@
             view = view[os.write(descriptor, view) :]
 
     def sync(self, descriptor: int) -> None:
-        """Wait until what was written is on disk."""
+        """Flush the written data of a file to disk."""
         os.fdatasync(descriptor)
 
     def truncate(self, descriptor: int, size: int) -> None:
-        """Cut a file to `size` bytes."""
+        """Truncate a file to `size` bytes."""
         os.ftruncate(descriptor, size)
 
     def close(self, descriptor: int) -> None:
@@ -30,7 +30,7 @@
         os.close(descriptor)
 
     def replace(self, path: Path, data: bytes) -> None:
-        """Put a whole file in place so that either the old or the new one lasts."""
+        """Replace a file atomically and durably."""
         draft = path.with_suffix(".tmp")
         descriptor = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
@@ -42,7 +42,7 @@
         self.sync_folder(path.parent)
 
     def sync_folder(self, folder: Path) -> None:
-        """Wait until the names in a folder are on disk."""
+        """Flush the entries of a directory to disk."""
         descriptor = os.open(folder, os.O_RDONLY)
         try:
             os.fsync(descriptor)
--- a/reachlink/agreement/_log.py
+++ b/reachlink/agreement/_log.py
@@ -1,4 +1,4 @@
-"""The part of the log that follows the latest snapshot, in memory."""
+"""In-memory log entries that follow the latest snapshot."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -8,16 +8,16 @@
 
 @dataclass(slots=True)
 class Log:
-    """Entries after a snapshot, and the memberships that stand in them.
+    """Log entries after a snapshot, including membership entries.
 
     Attributes
     ----------
     snapshot_index, snapshot_term : int
-        Last entry that the snapshot covers.
+        Index and term of the last entry that the snapshot covers.
     snapshot_members : list of Member
-        Membership at the snapshot.
+        Membership as of the snapshot.
     entries : list of Entry
-        Entries from ``snapshot_index + 1`` on.
+        Entries starting at index ``snapshot_index + 1``.
     """
 
     snapshot_index: int = 0
@@ -36,7 +36,7 @@
         return self.entries[-1].term if self.entries else self.snapshot_term
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, or None where it is not held."""
+        """Return the term of the entry at `index`, or None if the log does not contain it."""
         if index == self.snapshot_index:
             return self.snapshot_term
         if self.snapshot_index < index <= self.last_index:
@@ -44,37 +44,37 @@
         return None
 
     def slice(self, first: int, limit: int) -> list[Entry]:
-        """Return at most `limit` entries from index `first` on."""
+        """Return at most `limit` entries starting at index `first`."""
         start = first - self.snapshot_index - 1
         return self.entries[start : start + limit]
 
     def append(self, entries: Sequence[Entry]) -> None:
-        """Add entries after the last one."""
+        """Append entries."""
         self.entries.extend(entries)
 
     def cut_from(self, index: int) -> None:
-        """Drop the entry at `index` and all after it."""
+        """Remove the entry at `index` and all later ones."""
         del self.entries[index - self.snapshot_index - 1 :]
 
     def compact(self, index: int, members: list[Member]) -> None:
-        """Drop the entries up to `index`, which a snapshot covers."""
+        """Remove the entries up to `index`, which a snapshot covers."""
         term = self.term_at(index)
         if term is None:
-            raise ValueError(f"entry {index} is not held")
+            raise ValueError(f"entry {index} is not in the log")
         del self.entries[: index - self.snapshot_index]
         self.snapshot_index = index
         self.snapshot_term = term
         self.snapshot_members = members
 
     def reset(self, index: int, term: int, members: list[Member]) -> None:
-        """Start anew behind a snapshot."""
+        """Remove all entries and continue after a snapshot."""
         self.entries.clear()
         self.snapshot_index = index
         self.snapshot_term = term
         self.snapshot_members = members
 
     def members_at(self, index: int) -> tuple[int, list[Member]]:
-        """Return the latest membership up to `index`, and the entry it stands in."""
+        """Return the index and members of the latest membership at or before `index`."""
         for entry in reversed(self.entries[: index - self.snapshot_index]):
             if entry.kind is EntryKind.MEMBERS:
                 return entry.index, decode_members(entry.data)
--- a/reachlink/agreement/_messages.py
+++ b/reachlink/agreement/_messages.py
@@ -1,4 +1,4 @@
-"""Entries of the replicated log and messages between its replicas."""
+"""Entries of the replicated log and messages between replicas."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class EntryKind(IntEnum):
-    """What an entry holds."""
+    """Content type of a log entry."""
 
     EMPTY = 0
     COMMAND = 1
@@ -23,7 +23,7 @@
 
 
 class Member(msgspec.Struct, array_like=True, frozen=True):
-    """A replica in the membership; one that does not vote only follows."""
+    """Member of the replica group; a non-voting member only receives the log."""
 
     node_id: str
     address: str
@@ -32,7 +32,10 @@
 
 
 class VoteRequest(msgspec.Struct, tag="vote", array_like=True, frozen=True):
-    """Ask for a vote, or with `trial` whether one would be given (pre-vote)."""
+    """Request for a vote, or for a pre-vote if `pre_vote` is set.
+
+    A pre-vote tells whether the receiver would grant a vote; it changes no state.
+    """
 
     term: int
     candidate: str
@@ -42,7 +45,7 @@
 
 
 class VoteReply(msgspec.Struct, tag="voted", array_like=True, frozen=True):
-    """Answer to `VoteRequest`."""
+    """Reply to `VoteRequest`."""
 
     term: int
     granted: bool
@@ -50,9 +53,9 @@
 
 
 class AppendRequest(msgspec.Struct, tag="append", array_like=True, frozen=True):
-    """Entries that follow (`prev_index`, `prev_term`); without entries a heartbeat.
+    """Entries that follow entry (`prev_index`, `prev_term`); a heartbeat if empty.
 
-    `sent_at` is the leader's monotonic clock in seconds, echoed by the reply.
+    `sent_at` is the leader's monotonic time in seconds; the reply repeats it.
     """
 
     term: int
@@ -65,7 +68,11 @@
 
 
 class AppendReply(msgspec.Struct, tag="appended", array_like=True, frozen=True):
-    """Answer to `AppendRequest`; `index` is the match, or where to try next."""
+    """Reply to `AppendRequest` or `SnapshotRequest`.
+
+    If `ok`, `index` is the last entry known to match the leader's log; else it
+    is the index from which the leader should send entries.
+    """
 
     term: int
     ok: bool
@@ -74,7 +81,7 @@
 
 
 class SnapshotRequest(msgspec.Struct, tag="snapshot", array_like=True, frozen=True):
-    """A whole state that replaces the receiver's log up to `index`."""
+    """Snapshot of the state that replaces the receiver's log up to `index`."""
 
     term: int
     leader: str
--- a/reachlink/agreement/_records.py
+++ b/reachlink/agreement/_records.py
@@ -1,4 +1,4 @@
-"""Framing of records on disk: magic, length, checksum, payload."""
+"""On-disk records, framed as magic number, length, checksum and payload."""
 
 import struct
 import zlib
@@ -14,26 +14,26 @@
 
 
 class HardRecord(msgspec.Struct, tag="h", array_like=True):
-    """Term and vote."""
+    """Raft hard state: current term and vote."""
 
     term: int
     voted_for: str
 
 
 class CutRecord(msgspec.Struct, tag="c", array_like=True):
-    """Entries from `index` on are no longer part of the log."""
+    """Removal of the entry at `index` and all later ones from the log."""
 
     index: int
 
 
 class EntryRecord(msgspec.Struct, tag="e", array_like=True):
-    """An entry of the log."""
+    """Log entry."""
 
     entry: Entry
 
 
 class SnapshotRecord(msgspec.Struct, tag="s", array_like=True):
-    """A whole state and the membership at that point."""
+    """Snapshot of the state, with the membership as of `index`."""
 
     index: int
     term: int
@@ -48,19 +48,19 @@
 
 
 def frame(record: Record) -> bytes:
-    """Return a record as it stands on disk."""
+    """Return the on-disk encoding of a record."""
     payload = _encode(record)
     return _FRAME.pack(_MAGIC, len(payload), zlib.crc32(payload)) + payload
 
 
 def read_records(data: bytes) -> Iterator[tuple[int, Record]]:
-    """Yield each record with the position after it, up to the first damaged one.
+    """Yield the end position and content of each record up to the first damaged one.
 
     Raises
     ------
     CorruptLogError
-        If a whole record follows a damaged one: then this is not a torn
-        tail but damage to what was synced.
+        If an intact record follows a damaged one. This is not an incomplete
+        last write but corruption of synced data.
     """
     position = 0
     while True:
@@ -70,7 +70,7 @@
         position, record = found
         yield position, record
     if _intact_after(data, position):
-        raise CorruptLogError(f"damaged record at byte {position}, intact ones behind it")
+        raise CorruptLogError(f"damaged record at byte {position}, followed by intact records")
 
 
 def _read_at(data: bytes, position: int) -> tuple[int, Record] | None:
--- a/reachlink/agreement/_replication.py
+++ b/reachlink/agreement/_replication.py
@@ -1,4 +1,4 @@
-"""Replication of entries and snapshots; pure."""
+"""Replication of entries and snapshots; no I/O."""
 
 from reachlink.agreement._election import hear_leader
 from reachlink.agreement._messages import (
@@ -15,7 +15,7 @@
 
 
 def append_own(state: ReplicaState, kind: EntryKind, data: bytes) -> Entry:
-    """Add an entry of this term to the leader's own log."""
+    """Append an entry of the current term to the leader's log."""
     entry = Entry(state.log.last_index + 1, state.term, kind, data)
     state.log.append([entry])
     state.effects.append.append(entry)
@@ -26,20 +26,20 @@
 
 
 def broadcast(state: ReplicaState, now: float) -> None:
-    """Send every follower what it lacks, or a heartbeat."""
+    """Send every follower its missing entries, or a heartbeat."""
     state.heartbeat_due = now + state.timing.heartbeat_s
     for node in state.progress:
         send_append(state, node, now)
 
 
 def send_append(state: ReplicaState, node: str, now: float) -> None:
-    """Send one follower what it lacks, or a heartbeat."""
+    """Send a follower its missing entries or a snapshot, and a heartbeat if no entries."""
     progress = state.progress[node]
     prev_index = progress.next_index - 1
     prev_term = state.log.term_at(prev_index)
     entries = state.log.slice(progress.next_index, MAX_ENTRIES)
     if prev_term is None:
-        # What it lacks is behind the snapshot; heartbeats go on meanwhile.
+        # The missing entries are compacted: send the snapshot, and heartbeats meanwhile.
         if now - progress.snapshot_sent_at >= SNAPSHOT_RETRY_S:
             progress.snapshot_sent_at = now
             state.effects.snapshot_to.append(node)
@@ -53,7 +53,7 @@
 
 
 def on_append(state: ReplicaState, request: AppendRequest, now: float) -> None:
-    """Take entries or a heartbeat."""
+    """Process entries or a heartbeat from the leader."""
     if request.term < state.term:
         reply = AppendReply(state.term, False, 0, request.sent_at)
         state.send(request.leader, reply)
@@ -66,7 +66,7 @@
 
 
 def on_append_reply(state: ReplicaState, sender: str, reply: AppendReply, now: float) -> None:
-    """A follower acknowledged entries, or says where to go on."""
+    """Update the progress of a follower from its reply and send further entries."""
     progress = state.progress.get(sender)
     if progress is None or reply.term != state.term:
         return
@@ -83,7 +83,8 @@
         before = state.commit
         commit_by_quorum(state)
         if state.commit > before:
-            # Followers serve watchers too: they need not wait for a heartbeat.
+            # Followers serve watchers too: send them the new commit index without
+            # waiting for the next heartbeat.
             broadcast(state, now)
             return
     if progress.next_index <= state.log.last_index:
@@ -91,13 +92,13 @@
 
 
 def on_snapshot(state: ReplicaState, request: SnapshotRequest, now: float) -> None:
-    """Take a whole state in place of the log, unless it is older than what is held."""
+    """Replace the log by a snapshot, unless the log already covers it."""
     if request.term < state.term:
         state.send(request.leader, AppendReply(state.term, False, 0, request.sent_at))
         return
     hear_leader(state, request.term, request.leader, now)
     if state.log.term_at(request.index) == request.index_term:
-        # The log has all of it and maybe more, which was acknowledged: keep it.
+        # The log contains the snapshot and possibly later acknowledged entries: keep them.
         advance_commit(state, request.index)
     elif request.index > state.commit:
         state.log.reset(request.index, request.index_term, request.members)
@@ -111,7 +112,7 @@
 
 
 def commit_by_quorum(state: ReplicaState) -> None:
-    """Commit what a majority of voters has on disk, in this term."""
+    """Commit the entries that a majority of voters has on disk."""
     matched = [p.match_index for node, p in state.progress.items() if node in state.voters]
     if state.is_voter:
         matched.append(state.log.last_index)
@@ -119,13 +120,13 @@
     if len(matched) < state.quorum():
         return
     index = matched[state.quorum() - 1]
-    # Entries of older terms are committed only along with one of this term.
+    # Raft commits entries of earlier terms only together with one of the current term.
     if state.log.term_at(index) == state.term:
         advance_commit(state, index)
 
 
 def advance_commit(state: ReplicaState, index: int) -> None:
-    """Hand newly committed entries to the shell."""
+    """Advance the commit index and add the newly committed entries to the effects."""
     if index <= state.commit:
         return
     state.effects.committed.extend(state.log.slice(state.commit + 1, index - state.commit))
@@ -133,7 +134,10 @@
 
 
 def _merge(state: ReplicaState, request: AppendRequest) -> tuple[bool, int]:
-    """Return whether the entries fit, and the match or where to try next."""
+    """Append the entries of a request to the log if they are consistent with it.
+
+    Returns the `ok` and `index` fields of the reply.
+    """
     log = state.log
     if request.prev_index < log.snapshot_index:
         return True, state.commit
@@ -149,7 +153,7 @@
 def _replace_tail(state: ReplicaState, entries: list[Entry], first: int) -> None:
     log = state.log
     if first <= state.commit:
-        raise AssertionError(f"a leader would replace committed entry {first}")
+        raise AssertionError(f"append request conflicts with committed entry {first}")
     if first <= log.last_index:
         log.cut_from(first)
         _cut_effects(state, first)
@@ -167,7 +171,7 @@
 
 
 def _track_members(state: ReplicaState) -> None:
-    """Follow the members of the latest membership, and nobody else."""
+    """Track the progress of exactly the other members of the latest membership."""
     wanted = {m.node_id for m in state.members} - {state.node_id}
     for node in wanted - state.progress.keys():
         state.progress[node] = Progress(state.log.last_index + 1)
--- a/reachlink/agreement/_service.py
+++ b/reachlink/agreement/_service.py
@@ -1,4 +1,4 @@
-"""The shell around `Core`: one loop that syncs, sends, applies and answers."""
+"""Event loop around `Core`: persists, sends, applies and completes proposals."""
 
 import asyncio
 import contextlib
@@ -26,13 +26,13 @@
 
 SNAPSHOT_ENTRIES = 400
 MAX_LOG_ENTRIES = 20_000
-# A log that is larger is folded into a snapshot whatever its length: large
-# commands would else fill the memory before there are enough of them.
+# A log above this size in bytes is compacted whatever its number of entries: large
+# commands would otherwise exhaust memory before the entry limit is reached.
 MAX_LOG_BYTES = 4 << 20
-# Framing of an entry on disk, besides its command.
+# Framing overhead of an entry on disk, in bytes.
 ENTRY_BYTES = 24
 POLL_S = 0.01
-# How often a write is tried again while the disk is full, in seconds.
+# Interval between retries of a write while the disk is full, in seconds.
 DISK_RETRY_S = 0.2
 
 _encode = msgspec.msgpack.Encoder().encode
@@ -40,19 +40,19 @@
 
 
 class StateMachine(Protocol):
-    """What the log drives; every replica applies the same entries in order."""
+    """Replicated state machine; every replica applies the same entries in order."""
 
     def apply(self, index: int, term: int, command: bytes) -> Any:
         """Apply a committed command and return its result."""
 
     def on_members(self, index: int, members: list[Member]) -> None:
-        """A membership was committed."""
+        """Handle a committed membership."""
 
     def snapshot(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
 
     def restore(self, data: bytes) -> None:
-        """Replace the whole state."""
+        """Replace the state by a serialized one."""
 
 
 @dataclass(slots=True)
@@ -63,28 +63,29 @@
 
 
 class ReplicaService:
-    """One replica with its disk and its state machine.
+    """Replica with its storage and state machine.
 
     Parameters
     ----------
     node_id : str
         Identity of the replica.
     storage : Storage
-        Its data folder.
+        Data folder of the replica.
     loaded : Loaded
-        What the folder held.
+        State loaded from the data folder.
     machine : StateMachine
-        What the log drives.
+        State machine to which committed entries are applied.
     send : callable
-        Sends ``(address, payload)`` to another replica, or drops it.
+        Called with ``(address, payload)``. Sends a message to another replica;
+        messages may be lost.
     clock : Clock
-        Source of time.
-    timing : Timing
-        Durations.
+        Source of monotonic time.
+    timing : Timing, optional
+        Heartbeat interval, election timeouts and clock drift bound.
     on_applied : callable, optional
-        Called after entries were applied or a snapshot was installed.
+        Called after entries are applied or a snapshot is installed.
     started_at : float, optional
-        When this process started, in monotonic seconds; see `Core`.
+        Monotonic time in seconds at which this process started; see `Core`.
     """
 
     def __init__(
@@ -126,17 +127,17 @@
         self._log = get_logger()
         self._role = ""
         self._disk_full = False
-        # A replica that was just added knows no membership yet, but must answer.
+        # A newly added replica has no membership yet but must reply to the leader.
         self._addresses: dict[str, str] = {}
 
     @property
     def core(self) -> Core:
-        """The decision logic, to be read only."""
+        """Raft state machine of the replica; callers must not modify it."""
         return self._core
 
     @property
     def hears_leader(self) -> bool:
-        """Whether this replica leads, or has heard the leader within an election time-out."""
+        """Whether this replica leads or got a message of the leader within an election timeout."""
         state = self._core.state
         if self._core.is_leader:
             return True
@@ -144,7 +145,7 @@
         return bool(state.leader) and silent < state.timing.election_max_s
 
     def member_health(self) -> dict[str, MemberHealth]:
-        """Return what this leader knows of the other members, by node id."""
+        """Return the health of the other members by node id, as this leader sees it."""
         state = self._core.state
         now = self._clock.monotonic()
         return {
@@ -158,23 +159,23 @@
         return self._applied
 
     def receive(self, sender: str, address: str, payload: bytes) -> None:
-        """Take a message of another replica that is reached at `address`."""
+        """Queue a message from another replica, whose replies go to `address`."""
         self._addresses[sender] = address
         if self._disk_full:
-            # It could not be acted on, and the sender repeats what matters.
+            # Nothing can be persisted, and the sender retries what is necessary.
             return
         self._inbox.append((sender, _decode(payload)))
         self._wakeup.set()
 
     async def propose(self, command: bytes) -> Any:
-        """Add a command to the log and return its result once it is applied.
+        """Append a command to the log and return its result once it is applied.
 
         Raises
         ------
         NotLeaderError
-            Nothing was proposed.
+            If this replica is not the leader or its disk is full. Nothing was proposed.
         ProposalLostError
-            The command may be committed later, or never.
+            If leadership is lost. The command may be committed later, or never.
         """
         if not self._core.is_leader or self._disk_full:
             raise NotLeaderError("" if self._disk_full else self._core.state.leader)
@@ -195,12 +196,12 @@
             await asyncio.sleep(POLL_S)
 
     async def barrier(self, timeout_s: float) -> int:
-        """Return an index that covers everything committed before the call.
+        """Return a commit index that includes everything committed before the call.
 
         Raises
         ------
         NotLeaderError
-            This replica does not lead, or is not certain of it in time.
+            If this replica is not the leader, or has no valid lease in time.
         """
         deadline = self._clock.monotonic() + timeout_s
         while True:
@@ -214,7 +215,7 @@
             await asyncio.sleep(POLL_S)
 
     async def wait_applied(self, index: int, timeout_s: float) -> bool:
-        """Wait until an entry is applied here; return whether it was in time."""
+        """Wait until the entry at `index` is applied; return False on timeout."""
         deadline = self._clock.monotonic() + timeout_s
         while self._applied < index:
             if self._clock.monotonic() > deadline:
@@ -223,19 +224,19 @@
         return True
 
     async def run(self) -> None:
-        """Work until cancelled.
+        """Run until cancelled.
 
         Raises
         ------
         StorageError
-            The disk failed; nothing that depended on it was sent.
+            If the disk fails. Nothing that depends on the failed write is sent.
         """
         try:
             while True:
                 await self._step()
                 await self._wait()
         finally:
-            self._fail_all(ProposalLostError("this replica stops"))
+            self._fail_all(ProposalLostError("this replica is stopping"))
 
     async def _wait(self) -> None:
         self._wakeup.clear()
@@ -272,10 +273,10 @@
             self._proposed[index] = proposal
 
     async def _persist(self, effects: Effects) -> None:
-        """Write what a step must not forget; wait while the disk is full.
+        """Write the durable part of the effects; retry while the disk is full.
 
-        Nothing that depends on it is sent meanwhile, as on a slow disk: the
-        others elect another leader.
+        Nothing that depends on the write is sent meanwhile. As with a slow
+        disk, the other replicas elect another leader.
         """
         if effects.install is not None or not effects.must_sync():
             return
@@ -341,14 +342,14 @@
         if proposal is None:
             return
         if proposal.term != entry.term:
-            _fail(proposal, ProposalLostError("another leader's entry took its place"))
+            _fail(proposal, ProposalLostError("an entry of another leader replaced it"))
         elif not proposal.future.done():
             proposal.future.set_result(result)
 
     def _compact(self) -> None:
         log = self._core.state.log
         entries = self._applied - log.snapshot_index
-        # A snapshot costs as much as it is large: the log may grow to its size first.
+        # The cost of a snapshot grows with its size: compact only once the log is as large.
         large = self._log_bytes >= len(self._snapshot)
         due = entries >= SNAPSHOT_ENTRIES and (large or entries >= MAX_LOG_ENTRIES)
         if not due and self._log_bytes < MAX_LOG_BYTES:
--- a/reachlink/agreement/_state.py
+++ b/reachlink/agreement/_state.py
@@ -1,4 +1,4 @@
-"""State of one replica of the log, and what a step asks of its shell."""
+"""State of one replica, and the effects that its caller must execute."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class Role(Enum):
-    """Role in the present term."""
+    """Raft role of a replica."""
 
     FOLLOWER = "follower"
     TRIAL = "trial"
@@ -24,14 +24,14 @@
     Attributes
     ----------
     heartbeat_s : float
-        Interval of heartbeats.
+        Interval between heartbeats.
     election_min_s, election_max_s : float
-        Range of the random election time-out.
+        Range of the random election timeout.
     first_election_min_s, first_election_max_s : float
-        Range of the wait before a replica that has just started stands: some
-        round trips, and enough apart that seldom two stand at once.
+        Range of the random delay before the first election after a start. It
+        spans several round trips, so that two replicas seldom campaign at once.
     drift : float
-        Bound on how much faster one clock may run than another, as a share.
+        Maximum relative difference between the rates of two clocks.
     """
 
     heartbeat_s: float = 0.15
@@ -44,7 +44,11 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one follower."""
+    """Replication progress of one follower, as the leader sees it.
+
+    Times are monotonic, in seconds. `acked_sent_at` is the leader's time at
+    which it sent the latest message that the follower acknowledged.
+    """
 
     next_index: int
     match_index: int = 0
@@ -55,10 +59,10 @@
 
 @dataclass(slots=True)
 class Effects:
-    """What one or more steps ask of the shell, in this order of execution.
+    """Effects of one or more events, which the caller executes in this order.
 
     Everything from `hard_state` to `append` must be on disk before any of
-    `messages` leaves and before `committed` is applied.
+    `messages` is sent and before `committed` is applied.
     """
 
     hard_state: bool = False
@@ -70,15 +74,15 @@
     committed: list[Entry] = field(default_factory=list)
 
     def must_sync(self) -> bool:
-        """Return whether something must reach the disk."""
+        """Return whether there is anything to write to disk."""
         return bool(self.hard_state or self.install or self.cut_from or self.append)
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """Everything one replica knows.
+    """State of one replica.
 
-    `term`, `voted_for` and the log outlive the process; the rest does not.
+    `term`, `voted_for` and `log` are persisted; the rest is lost on a restart.
     """
 
     node_id: str
@@ -107,15 +111,16 @@
 
     @property
     def is_voter(self) -> bool:
-        """Whether this replica votes."""
+        """Whether this replica is a voting member."""
         return self.node_id in self.voters
 
     @property
     def may_stand(self) -> bool:
-        """Whether this replica may stand for election.
+        """Whether this replica may start an election.
 
-        One whose removal is not committed may be the only one with a log that
-        can win, so it stands as long as the committed membership has it.
+        A replica whose removal is not committed may be the only one whose log
+        can win an election, so it remains eligible while it is a voter in the
+        committed membership.
         """
         if self.is_voter:
             return True
@@ -123,18 +128,18 @@
         return any(m.node_id == self.node_id and m.voting for m in committed)
 
     def quorum(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     def refresh_members(self) -> None:
-        """Take the latest membership that stands in the log, committed or not."""
+        """Use the latest membership in the log, committed or not."""
         self.members_index, self.members = self.log.members_at(self.log.last_index)
 
     def send(self, to: str, message: Message) -> None:
-        """Ask the shell to send a message."""
+        """Add a message to the effects."""
         self.effects.messages.append((to, message))
 
     def take_effects(self) -> Effects:
-        """Return what was asked of the shell since the last call."""
+        """Return and clear the effects since the last call."""
         effects, self.effects = self.effects, Effects()
         return effects
--- a/reachlink/agreement/_steward.py
+++ b/reachlink/agreement/_steward.py
@@ -1,14 +1,14 @@
-"""Which membership comes next, so that voters look after themselves; pure.
+"""Automatic membership changes; no I/O.
 
-A leader asks again and again, and makes one change at a time:
+The leader calls `next_membership` periodically and makes one change at a time:
 
-1. a replica that announces itself becomes a member that does not vote;
-2. once it has caught up, it replaces a voter whose disk is lost or that has
-   been silent for long, or fills up the voters;
-3. replicas that are gone are taken out.
+1. a replica that announces itself is added as a non-voting member;
+2. once it has caught up, it becomes a voter if there are too few voters, or to
+   replace a voter whose disk is lost or that has been silent too long;
+3. surplus voters, and non-voting members that are lost or silent, are removed.
 
-A voter that is merely silent stays until a caught-up replica can take its
-place: its disk may be the one that is needed after the next loss.
+A silent voter remains until a caught-up replica can replace it: its disk may
+be needed to recover from a further loss.
 """
 
 from collections import Counter
@@ -17,18 +17,18 @@
 
 from reachlink.agreement._messages import Member
 
-# How long a voter may be silent before a spare replica takes its place, in
-# seconds: above an election, below the time that a new replica has to count.
+# Silence in seconds after which a spare replica of the same zone replaces a voter:
+# longer than an election, shorter than the time in which a new replica must vote.
 SILENT_S = 1.5
-# The same where the spare stands in another zone than the voter.
+# The same, in seconds, if the spare replica is in another zone than the voter.
 SILENT_OTHER_ZONE_S = 10.0
-# How long a replica that does not vote may be silent before it is taken out.
+# Silence in seconds after which a non-voting member is removed.
 GONE_S = 20.0
 
 
 @dataclass(slots=True, frozen=True)
 class Candidate:
-    """A replica that has announced itself."""
+    """Replica that has announced itself to the leader."""
 
     node_id: str
     address: str
@@ -37,7 +37,11 @@
 
 @dataclass(slots=True, frozen=True)
 class MemberHealth:
-    """What the leader knows of a member: seconds of silence, and whether it is up to date."""
+    """Health of a member as the leader sees it.
+
+    `silent_s` is the age in seconds of the latest message that the member
+    acknowledged, `caught_up` whether it has all committed entries.
+    """
 
     silent_s: float
     caught_up: bool
@@ -50,20 +54,20 @@
     candidates: Iterable[Candidate],
     wanted_voters: int,
 ) -> list[Member] | None:
-    """Return the membership after the most urgent change, or None where nothing is to do.
+    """Return the membership after the most urgent change, or None if none is needed.
 
     Parameters
     ----------
     members : list of Member
-        Present membership.
+        Current membership.
     leader : str
         Node id of the leader.
     health : dict
-        State of each member but the leader, by node id.
+        Health of each member except the leader, by node id.
     candidates : iterable of Candidate
-        Replicas that announced themselves lately.
+        Replicas that announced themselves recently.
     wanted_voters : int
-        How many voters there should be; odd.
+        Target number of voters; odd.
     """
     announced = {c.address: c for c in candidates}
     view = _View(members, leader, health, announced, wanted_voters)
@@ -93,7 +97,7 @@
         return found.silent_s if found is not None else float("inf")
 
     def disk_lost(self, member: Member) -> bool:
-        """Return whether another identity has announced itself at the member's address."""
+        """Return whether a replica with another identity has announced itself at the address."""
         candidate = self.announced.get(member.address)
         return candidate is not None and candidate.node_id != member.node_id
 
@@ -103,7 +107,7 @@
 
 
 def _correct_zone(view: _View) -> list[Member] | None:
-    """Founders do not know each other's zones: take what they say of themselves."""
+    """Set the zone that a member announces; founding members do not know each other's."""
     for member in view.members:
         found = view.announced.get(member.address)
         if found is None or found.node_id != member.node_id:
@@ -152,7 +156,7 @@
 
 
 def _successor(view: _View, voter: Member, ready: list[Member]) -> Member | None:
-    """Return the replica that should take a voter's place, if it must be replaced."""
+    """Return the replica that should replace a voter, or None to keep the voter."""
     lost = view.disk_lost(voter)
     silent = view.silent_s(voter)
     if not lost and silent < SILENT_S:
--- a/reachlink/agreement/_storage.py
+++ b/reachlink/agreement/_storage.py
@@ -1,4 +1,4 @@
-"""The data folder of one replica: identity, segments of the log, a snapshot."""
+"""Data folder of one replica: identity, log segments and a snapshot."""
 
 import errno
 import fcntl
@@ -30,10 +30,10 @@
 
 
 class Identity(msgspec.Struct, forbid_unknown_fields=True):
-    """Who a replica is; made anew for each new disk.
+    """Identity of a replica, created anew on each new disk.
 
-    ``founding`` is the first membership of a cluster, empty for a replica
-    that waits to be added.
+    ``founding`` is the initial membership of a cluster, empty for a replica
+    that is added later.
     """
 
     cluster: str
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class Loaded:
-    """What was on disk."""
+    """Durable state loaded from disk."""
 
     log: Log
     term: int
@@ -57,14 +57,14 @@
     Parameters
     ----------
     folder : pathlib.Path
-        Data folder; made if missing.
-    files : Files
+        Data folder; created if missing.
+    files : Files, optional
         File operations.
 
     Raises
     ------
     StorageError
-        If the folder cannot be used or another process uses it.
+        If the folder cannot be used or another process has locked it.
     """
 
     def __init__(self, folder: Path, files: Files | None = None) -> None:
@@ -81,11 +81,11 @@
 
     @property
     def has_identity(self) -> bool:
-        """Whether the folder belongs to a replica already."""
+        """Whether the folder contains an identity."""
         return (self._folder / IDENTITY_FILE).exists()
 
     def identity(self, name: str) -> Identity:
-        """Return the replica's identity, made and synced on a new disk."""
+        """Return the identity of the replica; create and sync it on a new disk."""
         path = self._folder / IDENTITY_FILE
         try:
             return msgspec.json.decode(path.read_bytes(), type=Identity)
@@ -97,17 +97,17 @@
             raise CorruptLogError(f"{path}: {error}") from error
 
     def found(self, identity: Identity) -> None:
-        """Write the identity of a new replica."""
+        """Write and sync the identity of the replica."""
         data = msgspec.json.format(msgspec.json.encode(identity), indent=2)
         self._files.replace(self._folder / IDENTITY_FILE, data)
 
     def load(self) -> Loaded:
-        """Read everything and open the log for appending.
+        """Load the snapshot and the log, and open the log for appending.
 
         Raises
         ------
         CorruptLogError
-            If something that was synced is damaged.
+            If synced data is damaged.
         """
         loaded = Loaded(Log(), 0, "", None)
         self._load_snapshot(loaded)
@@ -120,14 +120,14 @@
         return loaded
 
     def persist(self, effects: Effects, term: int, voted_for: str) -> None:
-        """Write what a step must not forget, with one sync.
+        """Append the durable part of the effects to the log, with one sync.
 
         Raises
         ------
         DiskFullError
-            If there is no room; nothing was written, so that it may be tried again.
+            If the disk is full. Nothing was written, so the call may be retried.
         StorageError
-            If the disk fails; the replica must then stop.
+            If the disk fails. The replica must then stop.
         """
         records: list[Record] = []
         if effects.hard_state:
@@ -140,14 +140,14 @@
     def save_snapshot(
         self, snapshot: SnapshotRecord, term: int, voted_for: str, rest: list[Entry]
     ) -> None:
-        """Put a snapshot in place and drop the log behind it.
+        """Replace the snapshot, start a new log segment and delete the old segments.
 
         Parameters
         ----------
         snapshot : SnapshotRecord
-            The state.
+            Snapshot to write.
         term, voted_for
-            Hard state, written again at the start of the new segment.
+            Hard state, written at the start of the new segment.
         rest : list of Entry
             Entries after the snapshot.
         """
@@ -167,11 +167,11 @@
             path.unlink()
 
     def size_bytes(self) -> int:
-        """Return what the folder holds, in bytes."""
+        """Return the size of the files in the folder in bytes."""
         return sum(path.stat().st_size for path in self._folder.iterdir())
 
     def close(self) -> None:
-        """Close files and give the folder free."""
+        """Close the files and release the lock of the folder."""
         if self._descriptor >= 0:
             self._files.close(self._descriptor)
         os.close(self._lock)
@@ -189,7 +189,7 @@
             raise StorageError(f"cannot write the log: {error.strerror}") from error
 
     def _append(self, data: bytes, size: int) -> None:
-        """Write to the end of the log, which has `size` bytes so far, or leave it as it is."""
+        """Append to the log of `size` bytes; if the disk is full, undo a partial write."""
         try:
             self._files.write(self._descriptor, data)
         except OSError as error:
--- a/reachlink/agreement/exceptions.py
+++ b/reachlink/agreement/exceptions.py
@@ -18,7 +18,7 @@
 
 
 class NotLeaderError(AgreementError):
-    """This replica does not lead; nothing was proposed.
+    """This replica is not the leader; nothing was proposed.
 
     Parameters
     ----------
@@ -32,11 +32,11 @@
 
 
 class ProposalLostError(AgreementError):
-    """Leadership ended before the proposal was committed: it may yet be, or not."""
+    """Leadership ended before the proposal was committed; it may be committed later, or never."""
 
 
 class MembershipChangeError(AgreementError):
-    """A membership change was refused; nothing was proposed."""
+    """A membership change was rejected; nothing was proposed."""
 
 
 class StorageError(AgreementError):
@@ -44,8 +44,8 @@
 
 
 class DiskFullError(StorageError):
-    """There was no room for a write, and nothing of it was left behind: it may be tried again."""
+    """The disk is full; nothing was written, so the write may be retried."""
 
 
 class CorruptLogError(StorageError):
-    """A record in the middle of the log is damaged, so the voter must not go on."""
+    """Synced data is damaged, so the replica must stop."""
--- a/reachlink/agreement/tests/test_election.py
+++ b/reachlink/agreement/tests/test_election.py
@@ -1,4 +1,4 @@
-"""Elections right after a start: soon where all start at once, never inside a lease."""
+"""First elections: fast if all replicas start together, but never during a lease."""
 
 from random import Random
 
@@ -10,7 +10,7 @@
 NAMES = ["a", "b", "c"]
 DELAY_S = 0.002
 STARTED_S = 100.0
-# A start takes longer than a lease lasts.
+# Start-up time in seconds, longer than a lease.
 START_TAKES_S = 0.9
 
 
@@ -21,7 +21,7 @@
 
 
 def run_until_leader(replicas: dict[str, Core], now: float) -> float:
-    """Deliver messages and ticks in order of time; return when a leader stands."""
+    """Deliver messages and ticks in time order; return the time at which a leader is elected."""
     on_the_way: list[tuple[float, str, str, Message]] = []
     while not any(core.is_leader for core in replicas.values()):
         due = min(core.next_due() for core in replicas.values())
--- a/reachlink/agreement/tests/test_full_disk.py
+++ b/reachlink/agreement/tests/test_full_disk.py
@@ -1,4 +1,4 @@
-"""A replica whose disk is full waits for room, and acknowledges nothing meanwhile."""
+"""A replica with a full disk retries its writes and acknowledges nothing meanwhile."""
 
 import asyncio
 import errno
@@ -13,7 +13,7 @@
 
 
 class FullableDisk(Files):
-    """Takes a part of each write and then refuses, while it is full."""
+    """Disk that, while full, writes half of the data and then raises ENOSPC."""
 
     def __init__(self) -> None:
         self.full = False
@@ -29,7 +29,7 @@
 
 
 class Machine:
-    """Keeps the commands in their order."""
+    """State machine that records the applied commands."""
 
     def __init__(self) -> None:
         self.commands: list[bytes] = []
--- a/reachlink/agreement/tests/test_schedules.py
+++ b/reachlink/agreement/tests/test_schedules.py
@@ -1,4 +1,7 @@
-"""The replicated log keeps its promises under seeded schedules, and the checks can fail."""
+"""The invariants of the replicated log hold under seeded random schedules.
+
+Deliberately faulty variants verify that the checks detect violations.
+"""
 
 import os
 
@@ -30,7 +33,7 @@
         except BrokenPromiseError as error:
             raise AssertionError(f"schedule {seed}: {error}") from error
         accepted += len(world.results)
-    # Schedules in which nothing happens would prove nothing.
+    # Guards against schedules in which no edit is accepted.
     assert accepted > 3 * SCHEDULES // CHUNKS
 
 
@@ -46,19 +49,19 @@
 
 
 def test_a_late_snapshot_keeps_acknowledged_entries():
-    """Found by schedule 29328: a snapshot behind the log's end dropped that end."""
+    """Schedule 29328: a snapshot older than the end of the log must not drop later entries."""
     play(29328)
 
 
 class ForgetfulVoteDisk(Disk):
-    """Does not sync votes."""
+    """Disk that does not sync votes."""
 
     def persist(self, effects: Effects, term: int, voted_for: str, core_log: Log) -> None:
         super().persist(effects, self.term, self.voted_for, core_log)
 
 
 class ForgetfulEntryDisk(Disk):
-    """Syncs entries one step late."""
+    """Disk that does not sync appended entries."""
 
     def persist(self, effects: Effects, term: int, voted_for: str, core_log: Log) -> None:
         if effects.append and not effects.cut_from and not effects.install:
@@ -68,7 +71,7 @@
 
 
 class ForgetfulMachine(ControlMachine):
-    """Forgets the ids of edits when it is restored from a snapshot."""
+    """State machine that loses the edit ids on restoring a snapshot."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
--- a/reachlink/agreement/tests/test_steward.py
+++ b/reachlink/agreement/tests/test_steward.py
@@ -1,4 +1,4 @@
-"""The membership that comes next: one change at a time, never a step into less safety."""
+"""Automatic membership changes: one member at a time, and never too few voters."""
 
 from random import Random
 
@@ -49,7 +49,7 @@
 
 
 def test_a_lost_disk_is_replaced_step_by_step():
-    """The new identity joins, catches up, votes; only then the old one goes."""
+    """The old member is removed only once the new identity has caught up and votes."""
     announced = [candidate("c2")]
     health = {"b": GOOD, "c": SILENT}
     members = step(TRIO, health, announced)
--- a/reachlink/agreement/tests/test_storage.py
+++ b/reachlink/agreement/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""What is on disk lasts; what is damaged is cut or refused, never guessed."""
+"""Synced data survives; an incomplete tail is truncated, other damage raises an error."""
 
 import errno
 from pathlib import Path
@@ -113,7 +113,7 @@
 
 
 class FullDisk(Files):
-    """Has room for a few bytes more."""
+    """Disk with `room` bytes free."""
 
     def __init__(self, room: int) -> None:
         self.room = room
--- a/reachlink/agreement/tests/world.py
+++ b/reachlink/agreement/tests/world.py
@@ -1,8 +1,8 @@
-"""Replicas under seeded schedules of losses, partitions, crashes and membership changes.
+"""Simulation of replicas with message loss, partitions, crashes and membership changes.
 
-The real `Core` and the real control machine run; the network, the disks and
-the time are drawn from a seeded generator. After each step the promises are
-checked.
+`Core` and `ControlMachine` are real; the network, the disks and the clock are
+simulated with a seeded random generator. The invariants of the replicated log
+are checked during each step.
 """
 
 from dataclasses import dataclass, field
@@ -33,12 +33,12 @@
 
 
 class BrokenPromiseError(AssertionError):
-    """A promise of the replicated log was broken."""
+    """An invariant of the replicated log is violated."""
 
 
 @dataclass
 class Disk:
-    """What one replica has synced."""
+    """Synced state of one replica."""
 
     term: int = 0
     voted_for: str = ""
@@ -66,7 +66,7 @@
 
 
 class Node:
-    """One replica, running or not."""
+    """Replica; `core` is None while it is stopped."""
 
     def __init__(self, world: "World", node_id: str, founding: list[Member]) -> None:
         self.world = world
@@ -98,7 +98,7 @@
         assert core is not None
         effects = core.take_effects()
         if world.random.random() < world.crash_rate:
-            # The disk has nothing of this step, or all of it; nothing was sent.
+            # Crash with all or none of this step on disk, before anything is sent.
             if world.random.random() < 0.5:
                 self._persist(effects)
             self.core = None
@@ -132,7 +132,7 @@
             before = self.machine.tree.revision
             result = self.machine.apply(entry.index, entry.term, entry.data)
             if self.machine.tree.revision < before:
-                raise BrokenPromiseError("a revision went back")
+                raise BrokenPromiseError("a revision decreased")
             self.world.note_result(entry, result)
 
     def _compact(self) -> None:
@@ -187,7 +187,7 @@
             action()
 
     def heal_and_settle(self) -> None:
-        """Liveness: with everything up, an edit is accepted in bounded time."""
+        """Check liveness: once every replica runs, an edit is accepted in bounded time."""
         self.blocked.clear()
         self.crash_rate = 0.0
         for node in self.nodes.values():
@@ -202,7 +202,7 @@
             done = [r for r in self.results.values() if r.status is EditStatus.ACCEPTED]
             if len(done) > before:
                 return
-        raise BrokenPromiseError("no edit is accepted although everything is up")
+        raise BrokenPromiseError("no edit is accepted although every replica runs")
 
     def running(self) -> list[Node]:
         return [node for node in self.nodes.values() if node.core is not None]
@@ -214,7 +214,7 @@
     def deliver(self) -> None:
         if not self.network:
             return
-        # Mostly in order, with overtaking.
+        # Delivers 80% of the messages in order.
         position = 0 if self.random.random() < 0.8 else self.random.randrange(len(self.network))
         sender, to, message = self.network.pop(position)
         fate = self.random.random()
@@ -235,7 +235,7 @@
                 node.carry_out()
 
     def client(self) -> None:
-        """An operator edits on what some replica shows, or resends an earlier edit."""
+        """Propose an edit based on the revision of a random replica, or resend an earlier edit."""
         running = self.running()
         if not running:
             return
@@ -277,7 +277,7 @@
 
     def change_members(self) -> None:
         if self.now - self.lost_at < 2.0:
-            # A leader takes this long to notice that a replica is gone.
+            # Time in seconds in which a leader detects that a replica is lost.
             return
         leaders = [n for n in self.running() if n.core.is_leader]
         for leader in leaders:
@@ -311,7 +311,7 @@
         return name
 
     def lose_disk(self) -> None:
-        """A replica loses its disk for good, where every membership keeps a majority."""
+        """Remove a random replica and its disk, if every membership keeps a majority."""
         victim = self.random.choice(list(self.nodes))
         rest = set(self.nodes) - {victim}
         logs = [node.disk.log for node in self.nodes.values()]
