--- a/reachlink/agreement/__init__.py
+++ b/reachlink/agreement/__init__.py
@@ -3,6 +3,7 @@
 from reachlink.agreement._core import Core
 from reachlink.agreement._files import Files
 from reachlink.agreement._log import Log
+from reachlink.agreement._membership_planner import Candidate, MemberHealth, next_membership
 from reachlink.agreement._messages import (
     AppendReply,
     AppendRequest,
@@ -16,8 +17,7 @@
 )
 from reachlink.agreement._service import ReplicaService, StateMachine
 from reachlink.agreement._state import Effects, ReplicaState, Role, Timing
-from reachlink.agreement._steward import Candidate, MemberHealth, next_membership
-from reachlink.agreement._storage import Identity, Loaded, Storage
+from reachlink.agreement._storage import Identity, LoadedState, Storage
 from reachlink.agreement.exceptions import (
     AgreementError,
     CorruptLogError,
@@ -41,7 +41,7 @@
     "EntryKind",
     "Files",
     "Identity",
-    "Loaded",
+    "LoadedState",
     "Log",
     "Member",
     "MemberHealth",
--- a/reachlink/agreement/_core.py
+++ b/reachlink/agreement/_core.py
@@ -64,9 +64,9 @@
         state = ReplicaState(node_id, timing, random, log, term, voted_for)
         state.commit = log.snapshot_index
         # The previous process may have acknowledged a lease just before the restart.
-        state.heard_leader_at = now if started_at is None else started_at
+        state.leader_contact_at = now if started_at is None else started_at
         state.refresh_members()
-        election.set_first_election(state, now)
+        election.schedule_first_election(state, now)
         self._state = state
 
     @property
@@ -79,18 +79,18 @@
         """Whether this replica is the leader."""
         return self._state.role is Role.LEADER
 
-    def take_effects(self) -> Effects:
+    def pop_effects(self) -> Effects:
         """Return and clear the effects of the events since the last call."""
-        return self._state.take_effects()
+        return self._state.pop_effects()
 
     def next_due(self) -> float:
         """Return the monotonic time in seconds by which `tick` must be called."""
         state = self._state
         return state.heartbeat_due if self.is_leader else state.election_due
 
-    def lease_until(self) -> float:
+    def lease_expiry(self) -> float:
         """Return the monotonic time in seconds at which the leader lease expires."""
-        return election.lease_until(self._state)
+        return election.lease_expiry(self._state)
 
     def tick(self, now: float) -> None:
         """Start an election, or check the quorum and send heartbeats, if one is due."""
@@ -98,7 +98,7 @@
         if not self.is_leader:
             if now >= state.election_due:
                 election.on_election_due(state, now)
-                self._open_term(now)
+                self._begin_term(now)
             return
         if now >= state.heartbeat_due:
             election.check_quorum(state, now)
@@ -109,9 +109,9 @@
         """Process a message from another replica."""
         newer = getattr(message, "term", 0) > self._state.term
         if newer and isinstance(message, AppendReply):
-            election.follow(self._state, message.term, "", now)
+            election.become_follower(self._state, message.term, "", now)
         self._dispatch(message, sender, now)
-        self._open_term(now)
+        self._begin_term(now)
 
     def propose(self, commands: Sequence[bytes], now: float) -> list[int]:
         """Append commands to the log and return their indexes.
@@ -122,7 +122,7 @@
             If this replica is not the leader.
         """
         self._require_leader()
-        added = [replication.append_own(self._state, EntryKind.COMMAND, c) for c in commands]
+        added = [replication.append_entry(self._state, EntryKind.COMMAND, c) for c in commands]
         replication.broadcast(self._state, now)
         replication.commit_by_quorum(self._state)
         return [entry.index for entry in added]
@@ -143,7 +143,7 @@
         """
         self._require_leader()
         self._check_change(members, now)
-        entry = replication.append_own(
+        entry = replication.append_entry(
             self._state, EntryKind.MEMBERS, encode_members(list(members))
         )
         replication.broadcast(self._state, now)
@@ -172,9 +172,9 @@
         """Step down once a committed membership excludes this leader from the voters."""
         state = self._state
         if self.is_leader and not state.is_voter and state.members_index <= state.commit:
-            election.follow(state, state.term, "", now)
+            election.become_follower(state, state.term, "", now)
 
-    def _open_term(self, now: float) -> None:
+    def _begin_term(self, now: float) -> None:
         """Append an empty entry as the first entry of a leader's term.
 
         Committing it also commits the entries of earlier terms.
@@ -182,7 +182,7 @@
         state = self._state
         if not self.is_leader or state.log.last_index >= state.term_start_index:
             return
-        replication.append_own(state, EntryKind.EMPTY, b"")
+        replication.append_entry(state, EntryKind.EMPTY, b"")
         replication.broadcast(state, now)
         replication.commit_by_quorum(state)
 
@@ -203,20 +203,20 @@
             raise MembershipChangeError("exactly one replica may change at a time")
         if not any(m.voting for m in members):
             raise MembershipChangeError("the last voter cannot be removed")
-        self._check_caught_up(changed[0], old, new, now)
-        self._check_majority_alive(members, now)
+        self._check_promoted_caught_up(changed[0], old, new, now)
+        self._check_majority_reachable(members, now)
 
-    def _check_majority_alive(self, members: Sequence[Member], now: float) -> None:
+    def _check_majority_reachable(self, members: Sequence[Member], now: float) -> None:
         """Reject a membership without a reachable majority of voters.
 
         Such a membership could commit nothing, not even its own reversal.
         """
         voters = [m.node_id for m in members if m.voting]
-        alive = [v for v in voters if self._heard_recently(v, now)]
+        alive = [v for v in voters if self._replied_recently(v, now)]
         if len(alive) <= len(voters) // 2:
             raise MembershipChangeError("no majority of the new voters is reachable")
 
-    def _heard_recently(self, node: str, now: float) -> bool:
+    def _replied_recently(self, node: str, now: float) -> bool:
         state = self._state
         if node == state.node_id:
             return True
@@ -226,7 +226,7 @@
         # Not the time of the last reply, which a new leader initializes to its election.
         return now - progress.acked_sent_at < state.timing.election_max_s
 
-    def _check_caught_up(
+    def _check_promoted_caught_up(
         self, node: str, old: dict[str, Member], new: dict[str, Member], now: float
     ) -> None:
         promoted = node in new and new[node].voting and not (node in old and old[node].voting)
@@ -234,7 +234,7 @@
             return
         state = self._state
         progress = state.progress.get(node)
-        recent = self._heard_recently(node, now)
+        recent = self._replied_recently(node, now)
         if progress is None or not recent or progress.match_index < state.commit:
             raise MembershipChangeError(f"{node} has not caught up yet")
 
--- a/reachlink/agreement/_election.py
+++ b/reachlink/agreement/_election.py
@@ -17,7 +17,7 @@
     state.election_due = now + wait
 
 
-def set_first_election(state: ReplicaState, now: float) -> None:
+def schedule_first_election(state: ReplicaState, now: float) -> None:
     """Schedule the first election after a start.
 
     It follows a short random delay, but not before any lease that this replica
@@ -25,14 +25,14 @@
     reject the pre-vote; if all replicas start together, one is elected without
     a full election timeout.
     """
-    free = state.heard_leader_at + state.timing.election_min_s
+    free = state.leader_contact_at + state.timing.election_min_s
     wait = state.random.uniform(
         state.timing.first_election_min_s, state.timing.first_election_max_s
     )
     state.election_due = max(now, free) + wait
 
 
-def follow(state: ReplicaState, term: int, leader: str, now: float) -> None:
+def become_follower(state: ReplicaState, term: int, leader: str, now: float) -> None:
     """Become a follower, and adopt `term` if it is newer."""
     if term > state.term:
         state.term = term
@@ -45,44 +45,44 @@
     reset_election_timer(state, now)
 
 
-def hear_leader(state: ReplicaState, term: int, leader: str, now: float) -> None:
+def record_leader_contact(state: ReplicaState, term: int, leader: str, now: float) -> None:
     """Record a valid message from the leader of this term or a newer one."""
     if term > state.term or state.role is not Role.FOLLOWER or state.leader != leader:
-        follow(state, term, leader, now)
-    state.heard_leader_at = now
+        become_follower(state, term, leader, now)
+    state.leader_contact_at = now
     reset_election_timer(state, now)
 
 
 def on_election_due(state: ReplicaState, now: float) -> None:
     """Request pre-votes when the election timeout expires."""
     reset_election_timer(state, now)
-    if not state.may_stand:
+    if not state.may_campaign:
         return
-    state.role = Role.TRIAL
+    state.role = Role.PRE_CANDIDATE
     state.leader = ""
-    _ask_votes(state, now, state.term + 1, trial=True)
+    _request_votes(state, now, state.term + 1, pre_vote=True)
 
 
 def on_vote_request(state: ReplicaState, request: VoteRequest, now: float) -> None:
     """Answer a vote or pre-vote request."""
-    granted = _may_vote(state, request, now)
-    if not request.trial and not _hears_leader(state, now) and request.term > state.term:
-        follow(state, request.term, "", now)
-    if granted and not request.trial:
+    granted = _may_grant(state, request, now)
+    if not request.pre_vote and not _has_leader_contact(state, now) and request.term > state.term:
+        become_follower(state, request.term, "", now)
+    if granted and not request.pre_vote:
         state.voted_for = request.candidate
         state.effects.hard_state = True
         reset_election_timer(state, now)
     term = request.term if granted else state.term
-    state.send(request.candidate, VoteReply(term, granted, request.trial))
+    state.send(request.candidate, VoteReply(term, granted, request.pre_vote))
 
 
 def on_vote_reply(state: ReplicaState, sender: str, reply: VoteReply, now: float) -> None:
     """Count a granted vote or pre-vote; step down if the reply has a newer term."""
-    if reply.term > state.term and not (reply.trial and reply.granted):
-        follow(state, reply.term, "", now)
+    if reply.term > state.term and not (reply.pre_vote and reply.granted):
+        become_follower(state, reply.term, "", now)
         return
-    wanted = Role.TRIAL if reply.trial else Role.CANDIDATE
-    wanted_term = state.term + 1 if reply.trial else state.term
+    wanted = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
+    wanted_term = state.term + 1 if reply.pre_vote else state.term
     if state.role is not wanted or reply.term != wanted_term or not reply.granted:
         return
     state.votes.add(sender)
@@ -91,14 +91,14 @@
 
 def check_quorum(state: ReplicaState, now: float) -> None:
     """Step down if no majority replied within the maximum election timeout."""
-    heard = [p.heard_at for node, p in state.progress.items() if node in state.voters]
+    heard = [p.last_reply_at for node, p in state.progress.items() if node in state.voters]
     alive = sum(1 for at in heard if now - at < state.timing.election_max_s)
     alive += 1 if state.is_voter else 0
     if alive < state.quorum():
-        follow(state, state.term, "", now)
+        become_follower(state, state.term, "", now)
 
 
-def lease_until(state: ReplicaState) -> float:
+def lease_expiry(state: ReplicaState) -> float:
     """Return the monotonic time before which no other leader can be elected.
 
     A majority that acknowledged a message sent at time t grants no vote
@@ -117,28 +117,28 @@
     return acked[needed - 1] + state.timing.election_min_s * (1 - state.timing.drift)
 
 
-def _hears_leader(state: ReplicaState, now: float) -> bool:
+def _has_leader_contact(state: ReplicaState, now: float) -> bool:
     if state.role is Role.LEADER:
         return True
-    return now - state.heard_leader_at < state.timing.election_min_s
+    return now - state.leader_contact_at < state.timing.election_min_s
 
 
-def _may_vote(state: ReplicaState, request: VoteRequest, now: float) -> bool:
-    if _hears_leader(state, now) or request.term < state.term:
+def _may_grant(state: ReplicaState, request: VoteRequest, now: float) -> bool:
+    if _has_leader_contact(state, now) or request.term < state.term:
         return False
     mine = (state.log.last_term, state.log.last_index)
     if (request.last_term, request.last_index) < mine:
         return False
-    if request.trial:
+    if request.pre_vote:
         return request.term > state.term
     free = request.term > state.term or state.voted_for in ("", request.candidate)
     return free
 
 
-def _ask_votes(state: ReplicaState, now: float, term: int, trial: bool) -> None:
+def _request_votes(state: ReplicaState, now: float, term: int, pre_vote: bool) -> None:
     state.votes = {state.node_id}
     log = state.log
-    request = VoteRequest(term, state.node_id, log.last_index, log.last_term, trial)
+    request = VoteRequest(term, state.node_id, log.last_index, log.last_term, pre_vote)
     for node in state.voters:
         if node != state.node_id:
             state.send(node, request)
@@ -148,7 +148,7 @@
 def _count_votes(state: ReplicaState, now: float) -> None:
     if len(state.votes & set(state.voters)) < state.quorum():
         return
-    if state.role is Role.TRIAL:
+    if state.role is Role.PRE_CANDIDATE:
         _become_candidate(state, now)
     elif state.role is Role.CANDIDATE:
         _become_leader(state, now)
@@ -159,7 +159,7 @@
     state.term += 1
     state.voted_for = state.node_id
     state.effects.hard_state = True
-    _ask_votes(state, now, state.term, trial=False)
+    _request_votes(state, now, state.term, pre_vote=False)
 
 
 def _become_leader(state: ReplicaState, now: float) -> None:
@@ -169,7 +169,7 @@
     after = state.log.last_index + 1
     state.term_start_index = after
     state.progress = {
-        member.node_id: Progress(after, heard_at=now)
+        member.node_id: Progress(after, last_reply_at=now)
         for member in state.members
         if member.node_id != state.node_id
     }
@@ -178,12 +178,12 @@
 
 __all__ = [
     "check_quorum",
-    "follow",
-    "hear_leader",
-    "lease_until",
+    "become_follower",
+    "record_leader_contact",
+    "lease_expiry",
     "on_election_due",
     "on_vote_reply",
     "on_vote_request",
     "reset_election_timer",
-    "set_first_election",
+    "schedule_first_election",
 ]
--- a/reachlink/agreement/_log.py
+++ b/reachlink/agreement/_log.py
@@ -52,7 +52,7 @@
         """Append entries."""
         self.entries.extend(entries)
 
-    def cut_from(self, index: int) -> None:
+    def truncate_from(self, index: int) -> None:
         """Remove the entry at `index` and all later ones."""
         del self.entries[index - self.snapshot_index - 1 :]
 
--- a/reachlink/agreement/_steward.py
+++ b/reachlink/agreement/_membership_planner.py
@@ -19,11 +19,11 @@
 
 # Silence in seconds after which a spare replica of the same zone replaces a voter:
 # longer than an election, shorter than the time in which a new replica must vote.
-SILENT_S = 1.5
+VOTER_SILENCE_TIMEOUT_S = 1.5
 # The same, in seconds, if the spare replica is in another zone than the voter.
-SILENT_OTHER_ZONE_S = 10.0
+OTHER_ZONE_SILENCE_TIMEOUT_S = 10.0
 # Silence in seconds after which a non-voting member is removed.
-GONE_S = 20.0
+NON_VOTER_SILENCE_TIMEOUT_S = 20.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -71,7 +71,7 @@
     """
     announced = {c.address: c for c in candidates}
     view = _View(members, leader, health, announced, wanted_voters)
-    steps = (_correct_zone, _remove_surplus, _promote, _add, _remove_gone)
+    steps = (_update_zone, _remove_surplus, _promote, _add, _remove_lost)
     for step in steps:
         changed = step(view)
         if changed is not None:
@@ -85,7 +85,7 @@
     leader: str
     health: dict[str, MemberHealth]
     announced: dict[str, Candidate]
-    wanted: int
+    wanted_voters: int
 
     def voters(self) -> list[Member]:
         return [m for m in self.members if m.voting]
@@ -101,12 +101,12 @@
         candidate = self.announced.get(member.address)
         return candidate is not None and candidate.node_id != member.node_id
 
-    def replaced(self, old: Member, new: Member | None) -> list[Member]:
+    def with_replaced(self, old: Member, new: Member | None) -> list[Member]:
         rest = [m for m in self.members if m.node_id != old.node_id]
         return rest if new is None else [*rest, new]
 
 
-def _correct_zone(view: _View) -> list[Member] | None:
+def _update_zone(view: _View) -> list[Member] | None:
     """Set the zone that a member announces; founding members do not know each other's."""
     for member in view.members:
         found = view.announced.get(member.address)
@@ -114,44 +114,44 @@
             continue
         if found.availability_zone != member.availability_zone:
             right = Member(member.node_id, member.address, found.availability_zone, member.voting)
-            return view.replaced(member, right)
+            return view.with_replaced(member, right)
     return None
 
 
 def _remove_surplus(view: _View) -> list[Member] | None:
     voters = view.voters()
-    if len(voters) <= view.wanted:
+    if len(voters) <= view.wanted_voters:
         return None
     others = [m for m in voters if m.node_id != view.leader]
     zones = Counter(m.availability_zone for m in voters)
 
     def least_needed(member: Member) -> tuple[bool, float, int, str]:
         silent = view.silent_s(member)
-        steady = silent if silent > SILENT_S else 0.0
+        steady = silent if silent > VOTER_SILENCE_TIMEOUT_S else 0.0
         return (view.disk_lost(member), steady, zones[member.availability_zone], member.node_id)
 
-    return view.replaced(max(others, key=least_needed), None)
+    return view.with_replaced(max(others, key=least_needed), None)
 
 
 def _promote(view: _View) -> list[Member] | None:
-    ready = [m for m in view.members if not m.voting and _may_vote(view, m)]
+    ready = [m for m in view.members if not m.voting and _can_become_voter(view, m)]
     if not ready:
         return None
     voters = view.voters()
-    if len(voters) < view.wanted:
+    if len(voters) < view.wanted_voters:
         zones = Counter(m.availability_zone for m in voters)
         chosen = min(ready, key=lambda m: (zones[m.availability_zone], m.node_id))
-        return _voting(view, chosen)
+        return _with_voter(view, chosen)
     for voter in voters:
         successor = _successor(view, voter, ready)
         if successor is not None:
-            return _voting(view, successor)
+            return _with_voter(view, successor)
     return None
 
 
-def _may_vote(view: _View, member: Member) -> bool:
+def _can_become_voter(view: _View, member: Member) -> bool:
     found = view.health.get(member.node_id)
-    alive = found is not None and found.silent_s < SILENT_S
+    alive = found is not None and found.silent_s < VOTER_SILENCE_TIMEOUT_S
     return alive and found is not None and found.caught_up and not view.disk_lost(member)
 
 
@@ -159,17 +159,17 @@
     """Return the replica that should replace a voter, or None to keep the voter."""
     lost = view.disk_lost(voter)
     silent = view.silent_s(voter)
-    if not lost and silent < SILENT_S:
+    if not lost and silent < VOTER_SILENCE_TIMEOUT_S:
         return None
     same_zone = [m for m in ready if m.availability_zone == voter.availability_zone]
     if same_zone:
         return same_zone[0]
-    return ready[0] if lost or silent >= SILENT_OTHER_ZONE_S else None
+    return ready[0] if lost or silent >= OTHER_ZONE_SILENCE_TIMEOUT_S else None
 
 
-def _voting(view: _View, member: Member) -> list[Member]:
+def _with_voter(view: _View, member: Member) -> list[Member]:
     promoted = Member(member.node_id, member.address, member.availability_zone, True)
-    return view.replaced(member, promoted)
+    return view.with_replaced(member, promoted)
 
 
 def _add(view: _View) -> list[Member] | None:
@@ -182,12 +182,12 @@
     return None
 
 
-def _remove_gone(view: _View) -> list[Member] | None:
+def _remove_lost(view: _View) -> list[Member] | None:
     for member in view.members:
         if member.voting:
             continue
-        if view.disk_lost(member) or view.silent_s(member) > GONE_S:
-            return view.replaced(member, None)
+        if view.disk_lost(member) or view.silent_s(member) > NON_VOTER_SILENCE_TIMEOUT_S:
+            return view.with_replaced(member, None)
     return None
 
 
--- a/reachlink/agreement/_messages.py
+++ b/reachlink/agreement/_messages.py
@@ -41,7 +41,7 @@
     candidate: str
     last_index: int
     last_term: int
-    trial: bool
+    pre_vote: bool
 
 
 class VoteReply(msgspec.Struct, tag="voted", array_like=True, frozen=True):
@@ -49,7 +49,7 @@
 
     term: int
     granted: bool
-    trial: bool
+    pre_vote: bool
 
 
 class AppendRequest(msgspec.Struct, tag="append", array_like=True, frozen=True):
--- a/reachlink/agreement/_records.py
+++ b/reachlink/agreement/_records.py
@@ -13,14 +13,14 @@
 _FRAME = struct.Struct("<4sII")
 
 
-class HardRecord(msgspec.Struct, tag="h", array_like=True):
+class HardStateRecord(msgspec.Struct, tag="h", array_like=True):
     """Raft hard state: current term and vote."""
 
     term: int
     voted_for: str
 
 
-class CutRecord(msgspec.Struct, tag="c", array_like=True):
+class TruncateRecord(msgspec.Struct, tag="c", array_like=True):
     """Removal of the entry at `index` and all later ones from the log."""
 
     index: int
@@ -41,7 +41,7 @@
     data: bytes
 
 
-Record = HardRecord | CutRecord | EntryRecord | SnapshotRecord
+Record = HardStateRecord | TruncateRecord | EntryRecord | SnapshotRecord
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Record).decode
@@ -69,7 +69,7 @@
             break
         position, record = found
         yield position, record
-    if _intact_after(data, position):
+    if _has_intact_record_after(data, position):
         raise CorruptLogError(f"damaged record at byte {position}, followed by intact records")
 
 
@@ -84,7 +84,7 @@
     return start + length, _decode(payload)
 
 
-def _intact_after(data: bytes, position: int) -> bool:
+def _has_intact_record_after(data: bytes, position: int) -> bool:
     candidate = data.find(_MAGIC, position + 1)
     while candidate != -1:
         if _read_at(data, candidate) is not None:
--- a/reachlink/agreement/_replication.py
+++ b/reachlink/agreement/_replication.py
@@ -1,6 +1,6 @@
 """Replication of entries and snapshots; no I/O."""
 
-from reachlink.agreement._election import hear_leader
+from reachlink.agreement._election import record_leader_contact
 from reachlink.agreement._messages import (
     AppendReply,
     AppendRequest,
@@ -10,18 +10,18 @@
 )
 from reachlink.agreement._state import Progress, ReplicaState
 
-MAX_ENTRIES = 256
+MAX_ENTRIES_PER_REQUEST = 256
 SNAPSHOT_RETRY_S = 2.0
 
 
-def append_own(state: ReplicaState, kind: EntryKind, data: bytes) -> Entry:
+def append_entry(state: ReplicaState, kind: EntryKind, data: bytes) -> Entry:
     """Append an entry of the current term to the leader's log."""
     entry = Entry(state.log.last_index + 1, state.term, kind, data)
     state.log.append([entry])
     state.effects.append.append(entry)
     if kind is EntryKind.MEMBERS:
         state.refresh_members()
-        _track_members(state)
+        _sync_progress(state)
     return entry
 
 
@@ -37,7 +37,7 @@
     progress = state.progress[node]
     prev_index = progress.next_index - 1
     prev_term = state.log.term_at(prev_index)
-    entries = state.log.slice(progress.next_index, MAX_ENTRIES)
+    entries = state.log.slice(progress.next_index, MAX_ENTRIES_PER_REQUEST)
     if prev_term is None:
         # The missing entries are compacted: send the snapshot, and heartbeats meanwhile.
         if now - progress.snapshot_sent_at >= SNAPSHOT_RETRY_S:
@@ -58,8 +58,8 @@
         reply = AppendReply(state.term, False, 0, request.sent_at)
         state.send(request.leader, reply)
         return
-    hear_leader(state, request.term, request.leader, now)
-    ok, index = _merge(state, request)
+    record_leader_contact(state, request.term, request.leader, now)
+    ok, index = _append_from_leader(state, request)
     if ok:
         advance_commit(state, min(request.commit, index))
     state.send(request.leader, AppendReply(state.term, ok, index, request.sent_at))
@@ -70,7 +70,7 @@
     progress = state.progress.get(sender)
     if progress is None or reply.term != state.term:
         return
-    progress.heard_at = now
+    progress.last_reply_at = now
     progress.acked_sent_at = max(progress.acked_sent_at, reply.sent_at)
     if not reply.ok:
         progress.next_index = max(progress.match_index + 1, min(reply.index, state.log.last_index))
@@ -96,7 +96,7 @@
     if request.term < state.term:
         state.send(request.leader, AppendReply(state.term, False, 0, request.sent_at))
         return
-    hear_leader(state, request.term, request.leader, now)
+    record_leader_contact(state, request.term, request.leader, now)
     if state.log.term_at(request.index) == request.index_term:
         # The log contains the snapshot and possibly later acknowledged entries: keep them.
         advance_commit(state, request.index)
@@ -104,8 +104,8 @@
         state.log.reset(request.index, request.index_term, request.members)
         state.commit = request.index
         state.refresh_members()
-        state.effects.install = request
-        state.effects.cut_from = None
+        state.effects.install_snapshot = request
+        state.effects.truncate_from = None
         state.effects.append.clear()
         state.effects.committed.clear()
     state.send(request.leader, AppendReply(state.term, True, state.commit, request.sent_at))
@@ -133,7 +133,7 @@
     state.commit = index
 
 
-def _merge(state: ReplicaState, request: AppendRequest) -> tuple[bool, int]:
+def _append_from_leader(state: ReplicaState, request: AppendRequest) -> tuple[bool, int]:
     """Append the entries of a request to the log if they are consistent with it.
 
     Returns the `ok` and `index` fields of the reply.
@@ -155,8 +155,8 @@
     if first <= state.commit:
         raise AssertionError(f"append request conflicts with committed entry {first}")
     if first <= log.last_index:
-        log.cut_from(first)
-        _cut_effects(state, first)
+        log.truncate_from(first)
+        _truncate_effects(state, first)
     added = [entry for entry in entries if entry.index >= first]
     log.append(added)
     state.effects.append.extend(added)
@@ -164,13 +164,15 @@
         state.refresh_members()
 
 
-def _cut_effects(state: ReplicaState, first: int) -> None:
+def _truncate_effects(state: ReplicaState, first: int) -> None:
     effects = state.effects
     effects.append = [entry for entry in effects.append if entry.index < first]
-    effects.cut_from = first if effects.cut_from is None else min(first, effects.cut_from)
+    effects.truncate_from = (
+        first if effects.truncate_from is None else min(first, effects.truncate_from)
+    )
 
 
-def _track_members(state: ReplicaState) -> None:
+def _sync_progress(state: ReplicaState) -> None:
     """Track the progress of exactly the other members of the latest membership."""
     wanted = {m.node_id for m in state.members} - {state.node_id}
     for node in wanted - state.progress.keys():
--- a/reachlink/agreement/_service.py
+++ b/reachlink/agreement/_service.py
@@ -10,11 +10,11 @@
 import msgspec
 
 from reachlink.agreement._core import Core
+from reachlink.agreement._membership_planner import MemberHealth
 from reachlink.agreement._messages import Entry, EntryKind, Member, Message
 from reachlink.agreement._records import SnapshotRecord
 from reachlink.agreement._state import Effects, Timing
-from reachlink.agreement._steward import MemberHealth
-from reachlink.agreement._storage import Loaded, Storage
+from reachlink.agreement._storage import LoadedState, Storage
 from reachlink.agreement.exceptions import (
     AgreementError,
     DiskFullError,
@@ -30,10 +30,10 @@
 # commands would otherwise exhaust memory before the entry limit is reached.
 MAX_LOG_BYTES = 4 << 20
 # Framing overhead of an entry on disk, in bytes.
-ENTRY_BYTES = 24
-POLL_S = 0.01
+ENTRY_OVERHEAD_BYTES = 24
+POLL_INTERVAL_S = 0.01
 # Interval between retries of a write while the disk is full, in seconds.
-DISK_RETRY_S = 0.2
+DISK_FULL_RETRY_INTERVAL_S = 0.2
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Message).decode
@@ -71,7 +71,7 @@
         Identity of the replica.
     storage : Storage
         Data folder of the replica.
-    loaded : Loaded
+    loaded : LoadedState
         State loaded from the data folder.
     machine : StateMachine
         State machine to which committed entries are applied.
@@ -92,7 +92,7 @@
         self,
         node_id: str,
         storage: Storage,
-        loaded: Loaded,
+        loaded: LoadedState,
         machine: StateMachine,
         send: Callable[[str, bytes], object],
         clock: Clock,
@@ -116,7 +116,7 @@
             started_at,
         )
         self._snapshot = loaded.snapshot or b""
-        self._log_bytes = sum(len(e.data) + ENTRY_BYTES for e in loaded.log.entries)
+        self._log_bytes = sum(len(e.data) + ENTRY_OVERHEAD_BYTES for e in loaded.log.entries)
         if loaded.snapshot is not None:
             machine.restore(loaded.snapshot)
         self._applied = loaded.log.snapshot_index
@@ -136,12 +136,12 @@
         return self._core
 
     @property
-    def hears_leader(self) -> bool:
+    def has_leader_contact(self) -> bool:
         """Whether this replica leads or got a message of the leader within an election timeout."""
         state = self._core.state
         if self._core.is_leader:
             return True
-        silent = self._clock.monotonic() - state.heard_leader_at
+        silent = self._clock.monotonic() - state.leader_contact_at
         return bool(state.leader) and silent < state.timing.election_max_s
 
     def member_health(self) -> dict[str, MemberHealth]:
@@ -193,7 +193,7 @@
         while self._applied < index:
             if self._core.state.term != term or self._clock.monotonic() > deadline:
                 raise ProposalLostError("the membership change may be committed later, or never")
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def barrier(self, timeout_s: float) -> int:
         """Return a commit index that includes everything committed before the call.
@@ -208,11 +208,11 @@
             now = self._clock.monotonic()
             state = self._core.state
             opened = state.commit >= state.term_start_index
-            if self._core.is_leader and opened and self._core.lease_until() > now:
+            if self._core.is_leader and opened and self._core.lease_expiry() > now:
                 return state.commit
             if not self._core.is_leader or now > deadline:
                 raise NotLeaderError(state.leader)
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
     async def wait_applied(self, index: int, timeout_s: float) -> bool:
         """Wait until the entry at `index` is applied; return False on timeout."""
@@ -220,7 +220,7 @@
         while self._applied < index:
             if self._clock.monotonic() > deadline:
                 return False
-            await asyncio.sleep(POLL_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
         return True
 
     async def run(self) -> None:
@@ -253,10 +253,10 @@
             self._core.receive(sender, message, now)
         self._core.tick(now)
         self._propose_waiting(now)
-        effects = self._core.take_effects()
+        effects = self._core.pop_effects()
         await self._persist(effects)
-        self._carry_out(effects, now)
-        self._note_role()
+        self._execute(effects, now)
+        self._log_role_change()
 
     def _propose_waiting(self, now: float) -> None:
         waiting, self._waiting = self._waiting, []
@@ -278,7 +278,7 @@
         Nothing that depends on the write is sent meanwhile. As with a slow
         disk, the other replicas elect another leader.
         """
-        if effects.install is not None or not effects.must_sync():
+        if effects.install_snapshot is not None or not effects.must_sync():
             return
         state = self._core.state
         while True:
@@ -286,14 +286,14 @@
                 self._storage.persist(effects, state.term, state.voted_for)
                 break
             except DiskFullError as error:
-                self._note_disk_full(str(error))
-                await asyncio.sleep(DISK_RETRY_S)
-        self._log_bytes += sum(len(e.data) + ENTRY_BYTES for e in effects.append)
+                self._begin_disk_full(str(error))
+                await asyncio.sleep(DISK_FULL_RETRY_INTERVAL_S)
+        self._log_bytes += sum(len(e.data) + ENTRY_OVERHEAD_BYTES for e in effects.append)
         if self._disk_full:
             self._disk_full = False
             self._log.info("disk_regained", term=state.term, index=state.log.last_index)
 
-    def _note_disk_full(self, reason: str) -> None:
+    def _begin_disk_full(self, reason: str) -> None:
         if self._disk_full:
             return
         self._disk_full = True
@@ -303,17 +303,17 @@
             _fail(proposal, NotLeaderError(""))
         self._log.error("disk_full", reason=reason, role=self._core.state.role.value)
 
-    def _carry_out(self, effects: Effects, now: float) -> None:
+    def _execute(self, effects: Effects, now: float) -> None:
         state = self._core.state
-        if effects.install is not None:
-            install = effects.install
+        if effects.install_snapshot is not None:
+            snapshot = effects.install_snapshot
             record = SnapshotRecord(
-                install.index, install.index_term, install.members, install.data
+                snapshot.index, snapshot.index_term, snapshot.members, snapshot.data
             )
             self._storage.save_snapshot(record, state.term, state.voted_for, state.log.entries)
-            self._snapshot = install.data
-            self._machine.restore(install.data)
-            self._applied = install.index
+            self._snapshot = snapshot.data
+            self._machine.restore(snapshot.data)
+            self._applied = snapshot.index
         self._addresses.update((m.node_id, m.address) for m in state.members)
         for node, message in effects.messages:
             self._send_to(node, message)
@@ -321,7 +321,7 @@
             self._send_to(node, self._core.snapshot_message(self._snapshot, now))
         for entry in effects.committed:
             self._apply(entry)
-        if self._on_applied is not None and (effects.committed or effects.install):
+        if self._on_applied is not None and (effects.committed or effects.install_snapshot):
             self._on_applied()
         self._core.step_down_if_removed(now)
         self._compact()
@@ -366,7 +366,7 @@
         self._log_bytes = 0
         self._log.info("snapshot_saved", index=self._applied, bytes=len(self._snapshot))
 
-    def _note_role(self) -> None:
+    def _log_role_change(self) -> None:
         state = self._core.state
         role = state.role.value
         if role == self._role:
--- a/reachlink/agreement/_state.py
+++ b/reachlink/agreement/_state.py
@@ -12,7 +12,7 @@
     """Raft role of a replica."""
 
     FOLLOWER = "follower"
-    TRIAL = "trial"
+    PRE_CANDIDATE = "trial"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -53,7 +53,7 @@
     next_index: int
     match_index: int = 0
     acked_sent_at: float = float("-inf")
-    heard_at: float = float("-inf")
+    last_reply_at: float = float("-inf")
     snapshot_sent_at: float = float("-inf")
 
 
@@ -66,8 +66,8 @@
     """
 
     hard_state: bool = False
-    install: SnapshotRequest | None = None
-    cut_from: int | None = None
+    install_snapshot: SnapshotRequest | None = None
+    truncate_from: int | None = None
     append: list[Entry] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
     snapshot_to: list[str] = field(default_factory=list)
@@ -75,7 +75,7 @@
 
     def must_sync(self) -> bool:
         """Return whether there is anything to write to disk."""
-        return bool(self.hard_state or self.install or self.cut_from or self.append)
+        return bool(self.hard_state or self.install_snapshot or self.truncate_from or self.append)
 
 
 @dataclass(slots=True)
@@ -98,7 +98,7 @@
     members_index: int = 0
     votes: set[str] = field(default_factory=set)
     progress: dict[str, Progress] = field(default_factory=dict)
-    heard_leader_at: float = float("-inf")
+    leader_contact_at: float = float("-inf")
     election_due: float = 0.0
     heartbeat_due: float = 0.0
     term_start_index: int = 0
@@ -115,7 +115,7 @@
         return self.node_id in self.voters
 
     @property
-    def may_stand(self) -> bool:
+    def may_campaign(self) -> bool:
         """Whether this replica may start an election.
 
         A replica whose removal is not committed may be the only one whose log
@@ -139,7 +139,7 @@
         """Add a message to the effects."""
         self.effects.messages.append((to, message))
 
-    def take_effects(self) -> Effects:
+    def pop_effects(self) -> Effects:
         """Return and clear the effects since the last call."""
         effects, self.effects = self.effects, Effects()
         return effects
--- a/reachlink/agreement/_storage.py
+++ b/reachlink/agreement/_storage.py
@@ -13,11 +13,11 @@
 from reachlink.agreement._log import Log
 from reachlink.agreement._messages import Entry, Member
 from reachlink.agreement._records import (
-    CutRecord,
     EntryRecord,
-    HardRecord,
+    HardStateRecord,
     Record,
     SnapshotRecord,
+    TruncateRecord,
     frame,
     read_records,
 )
@@ -42,7 +42,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedState:
     """Durable state loaded from disk."""
 
     log: Log
@@ -91,17 +91,17 @@
             return msgspec.json.decode(path.read_bytes(), type=Identity)
         except FileNotFoundError:
             identity = Identity("", f"{name}-{secrets.token_hex(_SUFFIX_BYTES)}")
-            self.found(identity)
+            self.write_identity(identity)
             return identity
         except msgspec.DecodeError as error:
             raise CorruptLogError(f"{path}: {error}") from error
 
-    def found(self, identity: Identity) -> None:
+    def write_identity(self, identity: Identity) -> None:
         """Write and sync the identity of the replica."""
         data = msgspec.json.format(msgspec.json.encode(identity), indent=2)
         self._files.replace(self._folder / IDENTITY_FILE, data)
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedState:
         """Load the snapshot and the log, and open the log for appending.
 
         Raises
@@ -109,7 +109,7 @@
         CorruptLogError
             If synced data is damaged.
         """
-        loaded = Loaded(Log(), 0, "", None)
+        loaded = LoadedState(Log(), 0, "", None)
         self._load_snapshot(loaded)
         segments = sorted(self._folder.glob("log-*.bin"))
         for path in segments:
@@ -131,9 +131,9 @@
         """
         records: list[Record] = []
         if effects.hard_state:
-            records.append(HardRecord(term, voted_for))
-        if effects.cut_from is not None:
-            records.append(CutRecord(effects.cut_from))
+            records.append(HardStateRecord(term, voted_for))
+        if effects.truncate_from is not None:
+            records.append(TruncateRecord(effects.truncate_from))
         records.extend(EntryRecord(entry) for entry in effects.append)
         self._write(records)
 
@@ -159,7 +159,7 @@
         self._files.close(self._descriptor)
         self._segment += 1
         self._descriptor = self._files.open_append(self._segment_path(self._segment))
-        records: list[Record] = [HardRecord(term, voted_for)]
+        records: list[Record] = [HardStateRecord(term, voted_for)]
         records.extend(EntryRecord(entry) for entry in rest)
         self._write(records)
         self._files.sync_folder(self._folder)
@@ -198,7 +198,7 @@
             self._files.truncate(self._descriptor, size)
             raise DiskFullError(f"cannot write the log: {error.strerror}") from error
 
-    def _load_snapshot(self, loaded: Loaded) -> None:
+    def _load_snapshot(self, loaded: LoadedState) -> None:
         path = self._folder / SNAPSHOT_FILE
         if not path.exists():
             return
@@ -209,7 +209,7 @@
         loaded.snapshot = snapshot.data
         loaded.log.reset(snapshot.index, snapshot.term, snapshot.members)
 
-    def _load_segment(self, path: Path, loaded: Loaded, last: bool) -> None:
+    def _load_segment(self, path: Path, loaded: LoadedState, last: bool) -> None:
         data = path.read_bytes()
         end = 0
         try:
@@ -222,9 +222,9 @@
             return
         if not last:
             raise CorruptLogError(f"{path}: damaged at byte {end}, and not the newest segment")
-        self._cut_tail(path, end)
+        self._truncate_tail(path, end)
 
-    def _cut_tail(self, path: Path, size: int) -> None:
+    def _truncate_tail(self, path: Path, size: int) -> None:
         descriptor = self._files.open_append(path)
         try:
             self._files.truncate(descriptor, size)
@@ -233,13 +233,13 @@
             self._files.close(descriptor)
 
 
-def _replay(record: Record, loaded: Loaded) -> None:
+def _replay(record: Record, loaded: LoadedState) -> None:
     log = loaded.log
-    if isinstance(record, HardRecord):
+    if isinstance(record, HardStateRecord):
         loaded.term, loaded.voted_for = record.term, record.voted_for
-    elif isinstance(record, CutRecord):
+    elif isinstance(record, TruncateRecord):
         if record.index > log.snapshot_index:
-            log.cut_from(record.index)
+            log.truncate_from(record.index)
     elif isinstance(record, EntryRecord):
         _replay_entry(record.entry, log)
     else:
@@ -252,5 +252,5 @@
     if entry.index > log.last_index + 1:
         raise CorruptLogError(f"entry {log.last_index + 1} is missing")
     if entry.index <= log.last_index:
-        log.cut_from(entry.index)
+        log.truncate_from(entry.index)
     log.append([entry])
--- a/reachlink/agreement/tests/test_election.py
+++ b/reachlink/agreement/tests/test_election.py
@@ -9,9 +9,9 @@
 
 NAMES = ["a", "b", "c"]
 DELAY_S = 0.002
-STARTED_S = 100.0
+STARTED_AT = 100.0
 # Start-up time in seconds, longer than a lease.
-START_TAKES_S = 0.9
+STARTUP_S = 0.9
 
 
 def replica(name: str, now: float, started_at: float | None) -> Core:
@@ -32,28 +32,28 @@
             replicas[to].receive(sender, message, now)
         for name, core in replicas.items():
             core.tick(now)
-            for to, message in core.take_effects().messages:
+            for to, message in core.pop_effects().messages:
                 on_the_way.append((now + DELAY_S, name, to, message))
     return now
 
 
-def test_replicas_that_all_start_at_once_do_not_wait_for_a_leader():
-    now = STARTED_S + START_TAKES_S
-    replicas = {name: replica(name, now, STARTED_S) for name in NAMES}
+def test_replicas_that_start_together_elect_a_leader_without_an_election_timeout():
+    now = STARTED_AT + STARTUP_S
+    replicas = {name: replica(name, now, STARTED_AT) for name in NAMES}
     elected = run_until_leader(replicas, now)
     assert elected - now < Timing().first_election_max_s + 10 * DELAY_S
 
 
-@pytest.mark.parametrize("started_at", [STARTED_S, None])
-def test_a_replica_that_started_just_now_does_not_stand_inside_a_lease(started_at):
-    core = replica("a", STARTED_S, started_at)
-    assert core.next_due() >= STARTED_S + Timing().election_min_s
+@pytest.mark.parametrize("started_at", [STARTED_AT, None])
+def test_a_restarted_replica_does_not_campaign_during_a_lease(started_at):
+    core = replica("a", STARTED_AT, started_at)
+    assert core.next_due() >= STARTED_AT + Timing().election_min_s
 
 
-def test_a_replica_that_started_just_now_grants_no_vote_inside_a_lease():
-    core = replica("a", STARTED_S, STARTED_S)
+def test_a_restarted_replica_grants_no_vote_during_a_lease():
+    core = replica("a", STARTED_AT, STARTED_AT)
     request = VoteRequest(4, "b", 0, 0, True)
-    core.receive("b", request, STARTED_S + 0.5 * Timing().election_min_s)
-    core.receive("b", request, STARTED_S + 1.1 * Timing().election_min_s)
-    replies = [m for _, m in core.take_effects().messages if isinstance(m, VoteReply)]
+    core.receive("b", request, STARTED_AT + 0.5 * Timing().election_min_s)
+    core.receive("b", request, STARTED_AT + 1.1 * Timing().election_min_s)
+    replies = [m for _, m in core.pop_effects().messages if isinstance(m, VoteReply)]
     assert [reply.granted for reply in replies] == [False, True]
--- a/reachlink/agreement/tests/test_full_disk.py
+++ b/reachlink/agreement/tests/test_full_disk.py
@@ -12,7 +12,7 @@
 OWN = Member("n1", "n1:1", "zone", True)
 
 
-class FullableDisk(Files):
+class LimitedDisk(Files):
     """Disk that, while full, writes half of the data and then raises ENOSPC."""
 
     def __init__(self) -> None:
@@ -48,14 +48,14 @@
         pass
 
 
-async def until(condition) -> None:
+async def wait_until(condition) -> None:
     async with asyncio.timeout(10.0):
         while not condition():
             await asyncio.sleep(0.01)
 
 
-def test_a_full_disk_is_waited_for_and_nothing_is_acknowledged_meanwhile(tmp_path):
-    disk = FullableDisk()
+def test_writes_are_retried_while_the_disk_is_full_and_nothing_is_acknowledged(tmp_path):
+    disk = LimitedDisk()
 
     async def scenario() -> None:
         storage = Storage(tmp_path, disk)
@@ -65,12 +65,12 @@
         send = lambda address, payload: None  # noqa: E731
         service = ReplicaService("n1", storage, loaded, machine, send, SystemClock())
         running = asyncio.create_task(service.run())
-        await until(lambda: service.core.is_leader)
+        await wait_until(lambda: service.core.is_leader)
         assert await service.propose(b"one") == 1
 
         disk.full = True
         pending = asyncio.create_task(service.propose(b"two"))
-        await until(lambda: disk.refused >= 2)
+        await wait_until(lambda: disk.refused >= 2)
         assert not pending.done() and not running.done()
         with pytest.raises(NotLeaderError):
             await service.propose(b"three")
--- a/reachlink/agreement/tests/test_steward.py
+++ b/reachlink/agreement/tests/test_membership_planner.py
@@ -17,7 +17,7 @@
 
 GOOD = MemberHealth(0.1, True)
 SILENT = MemberHealth(3.0, False)
-TRIO = [member("a"), member("b"), member("c")]
+THREE_VOTERS = [member("a"), member("b"), member("c")]
 
 
 def step(members, health, candidates, wanted=3):
@@ -28,31 +28,31 @@
     return {m.node_id for m in members if m.voting}
 
 
-def test_nothing_to_do():
+def test_no_change_if_all_members_are_healthy():
     health = {"b": GOOD, "c": GOOD}
-    assert step(TRIO, health, [candidate(n) for n in "abc"]) is None
+    assert step(THREE_VOTERS, health, [candidate(n) for n in "abc"]) is None
 
 
-def test_a_founder_gets_the_zone_that_it_tells():
+def test_a_founding_member_gets_its_announced_zone():
     members = [member("a"), member("b", zone=""), member("c")]
     changed = step(members, {"b": GOOD, "c": GOOD}, [candidate("b")])
     assert member("b") in changed
 
 
-def test_a_newcomer_first_follows():
-    changed = step(TRIO, {"b": GOOD, "c": GOOD}, [candidate("d")])
+def test_a_new_replica_is_added_without_a_vote():
+    changed = step(THREE_VOTERS, {"b": GOOD, "c": GOOD}, [candidate("d")])
     assert voters(changed) == set("abc") and member("d", voting=False) in changed
 
 
-def test_a_silent_voter_stays_while_nobody_can_take_its_place():
-    assert step(TRIO, {"b": GOOD, "c": SILENT}, []) is None
+def test_a_silent_voter_stays_until_a_replacement_exists():
+    assert step(THREE_VOTERS, {"b": GOOD, "c": SILENT}, []) is None
 
 
 def test_a_lost_disk_is_replaced_step_by_step():
     """The old member is removed only once the new identity has caught up and votes."""
     announced = [candidate("c2")]
     health = {"b": GOOD, "c": SILENT}
-    members = step(TRIO, health, announced)
+    members = step(THREE_VOTERS, health, announced)
     assert voters(members) == set("abc")
     health["c2"] = MemberHealth(0.1, False)
     assert step(members, health, announced) is None
@@ -64,35 +64,35 @@
 
 
 def test_a_spare_of_the_same_zone_replaces_a_silent_voter():
-    members = [*TRIO, member("d", voting=False)]
+    members = [*THREE_VOTERS, member("d", voting=False)]
     changed = step(members, {"b": GOOD, "c": SILENT, "d": GOOD}, [])
     assert voters(changed) == set("abcd")
 
 
 def test_a_spare_of_another_zone_waits_longer():
-    members = [*TRIO, member("e", voting=False)]
+    members = [*THREE_VOTERS, member("e", voting=False)]
     health = {"b": GOOD, "c": SILENT, "e": GOOD}
     assert step(members, health, []) is None
     health["c"] = MemberHealth(12.0, False)
     assert "e" in voters(step(members, health, []))
 
 
-def test_a_grown_core_gets_more_voters_spread_over_zones():
-    members = [*TRIO, member("d", voting=False), member("e", voting=False)]
+def test_a_higher_voter_target_promotes_members_across_zones():
+    members = [*THREE_VOTERS, member("d", voting=False), member("e", voting=False)]
     health = {n: GOOD for n in "bcde"}
     first = step(members, health, [], wanted=5)
     assert len(voters(first)) == 4
     assert voters(step(first, health, [], wanted=5)) == set("abcde")
 
 
-def test_a_follower_that_is_gone_is_taken_out():
-    members = [*TRIO, member("d", voting=False)]
+def test_a_silent_non_voter_is_removed():
+    members = [*THREE_VOTERS, member("d", voting=False)]
     health = {"b": GOOD, "c": GOOD, "d": MemberHealth(60.0, False)}
-    assert step(members, health, []) == TRIO
+    assert step(members, health, []) == THREE_VOTERS
 
 
-def test_the_leader_is_never_taken_out():
-    members = [*TRIO, member("d")]
+def test_the_leader_is_never_removed():
+    members = [*THREE_VOTERS, member("d")]
     health = {n: SILENT for n in "bcd"}
     assert "a" in voters(step(members, health, [candidate("a")]))
 
@@ -100,7 +100,7 @@
 def test_random_histories_change_one_member_at_a_time_and_keep_enough_voters():
     for seed in range(300):
         random = Random(seed)
-        members = list(TRIO)
+        members = list(THREE_VOTERS)
         for _ in range(40):
             known = [m.node_id for m in members if m.node_id != "a"]
             states = [GOOD, GOOD, SILENT, MemberHealth(30.0, False)]
--- a/reachlink/agreement/tests/test_schedules.py
+++ b/reachlink/agreement/tests/test_schedules.py
@@ -17,19 +17,19 @@
 MUTANT_SCHEDULES = 600
 
 
-def play(seed: int, world_class: type[World] = World) -> World:
+def run_schedule(seed: int, world_class: type[World] = World) -> World:
     world = world_class(seed, voters=3 if seed % 2 else 5)
     world.run(STEPS)
-    world.heal_and_settle()
+    world.check_liveness()
     return world
 
 
 @pytest.mark.parametrize("chunk", range(CHUNKS))
-def test_promises_hold(chunk):
+def test_invariants_hold(chunk):
     accepted = 0
     for seed in range(chunk, SCHEDULES, CHUNKS):
         try:
-            world = play(seed)
+            world = run_schedule(seed)
         except BrokenPromiseError as error:
             raise AssertionError(f"schedule {seed}: {error}") from error
         accepted += len(world.results)
@@ -37,10 +37,10 @@
     assert accepted > 3 * SCHEDULES // CHUNKS
 
 
-def first_broken(world_class: type[World] = World) -> str:
+def first_violation(world_class: type[World] = World) -> str:
     for seed in range(MUTANT_SCHEDULES):
         try:
-            play(seed, world_class)
+            run_schedule(seed, world_class)
         except BrokenPromiseError as error:
             return str(error)
         except (AssertionError, ValueError, IndexError) as error:
@@ -50,27 +50,27 @@
 
 def test_a_late_snapshot_keeps_acknowledged_entries():
     """Schedule 29328: a snapshot older than the end of the log must not drop later entries."""
-    play(29328)
+    run_schedule(29328)
 
 
-class ForgetfulVoteDisk(Disk):
+class UnsyncedVoteDisk(Disk):
     """Disk that does not sync votes."""
 
     def persist(self, effects: Effects, term: int, voted_for: str, core_log: Log) -> None:
         super().persist(effects, self.term, self.voted_for, core_log)
 
 
-class ForgetfulEntryDisk(Disk):
+class UnsyncedEntryDisk(Disk):
     """Disk that does not sync appended entries."""
 
     def persist(self, effects: Effects, term: int, voted_for: str, core_log: Log) -> None:
-        if effects.append and not effects.cut_from and not effects.install:
+        if effects.append and not effects.truncate_from and not effects.install_snapshot:
             self.term, self.voted_for = term, voted_for
             return
         super().persist(effects, term, voted_for, core_log)
 
 
-class ForgetfulMachine(ControlMachine):
+class LostEditIdsMachine(ControlMachine):
     """State machine that loses the edit ids on restoring a snapshot."""
 
     def restore(self, data: bytes) -> None:
@@ -87,21 +87,21 @@
 
 
 def test_checks_catch_votes_that_are_not_synced():
-    assert "lead term" in first_broken(with_disk(ForgetfulVoteDisk))
+    assert "lead term" in first_violation(with_disk(UnsyncedVoteDisk))
 
 
 def test_checks_catch_entries_that_are_not_synced():
-    assert first_broken(with_disk(ForgetfulEntryDisk))
+    assert first_violation(with_disk(UnsyncedEntryDisk))
 
 
 def test_checks_catch_a_quorum_of_one_less(monkeypatch):
     monkeypatch.setattr(ReplicaState, "quorum", lambda self: len(self.voters) // 2)
-    assert first_broken()
+    assert first_violation()
 
 
 def test_checks_catch_forgotten_edit_ids():
     class Mutant(World):
         def make_machine(self) -> ControlMachine:
-            return ForgetfulMachine()
+            return LostEditIdsMachine()
 
-    assert "got" in first_broken(Mutant)
+    assert "got" in first_violation(Mutant)
--- a/reachlink/agreement/tests/test_storage.py
+++ b/reachlink/agreement/tests/test_storage.py
@@ -21,7 +21,7 @@
     return Entry(index, term, EntryKind.COMMAND, f"command {index}".encode())
 
 
-def filled(folder: Path, count: int) -> list[Entry]:
+def write_entries(folder: Path, count: int) -> list[Entry]:
     storage = Storage(folder)
     storage.load()
     entries = [command(i) for i in range(1, count + 1)]
@@ -44,16 +44,16 @@
         storage.close()
 
 
-def test_everything_synced_is_there_again(tmp_path):
-    entries = filled(tmp_path, 20)
+def test_synced_entries_are_loaded(tmp_path):
+    entries = write_entries(tmp_path, 20)
     loaded = load(tmp_path)
     assert loaded.log.entries == entries
     assert (loaded.term, loaded.voted_for) == (1, "n1")
 
 
 @pytest.mark.parametrize("lost", [1, 5, 12, 30])
-def test_torn_tail_is_cut_once(tmp_path, lost):
-    entries = filled(tmp_path, 5)
+def test_incomplete_tail_is_truncated_once(tmp_path, lost):
+    entries = write_entries(tmp_path, 5)
     path = segment(tmp_path)
     path.write_bytes(path.read_bytes()[:-lost])
     first = load(tmp_path).log.entries
@@ -62,8 +62,8 @@
     assert load(tmp_path).log.entries == first
 
 
-def test_rotten_middle_stops_the_replica(tmp_path):
-    filled(tmp_path, 20)
+def test_corruption_before_intact_records_raises(tmp_path):
+    write_entries(tmp_path, 20)
     path = segment(tmp_path)
     data = bytearray(path.read_bytes())
     data[len(data) // 2] ^= 0xFF
@@ -72,7 +72,7 @@
         load(tmp_path)
 
 
-def test_rotten_snapshot_stops_the_replica(tmp_path):
+def test_corrupt_snapshot_raises(tmp_path):
     storage = Storage(tmp_path)
     storage.load()
     storage.save_snapshot(SnapshotRecord(3, 1, [], b"state"), 1, "", [command(4)])
@@ -85,8 +85,8 @@
         load(tmp_path)
 
 
-def test_snapshot_replaces_the_log_behind_it(tmp_path):
-    filled(tmp_path, 20)
+def test_snapshot_replaces_the_log_before_it(tmp_path):
+    write_entries(tmp_path, 20)
     storage = Storage(tmp_path)
     storage.load()
     storage.save_snapshot(SnapshotRecord(18, 1, [], b"state"), 2, "n2", [command(19), command(20)])
@@ -98,8 +98,8 @@
     assert (loaded.term, loaded.voted_for) == (2, "n2")
 
 
-def test_crash_between_snapshot_and_cut_is_harmless(tmp_path):
-    filled(tmp_path, 20)
+def test_crash_before_old_segments_are_deleted_is_harmless(tmp_path):
+    write_entries(tmp_path, 20)
     old = segment(tmp_path)
     kept = old.read_bytes()
     storage = Storage(tmp_path)
@@ -126,8 +126,8 @@
         super().write(descriptor, data)
 
 
-def test_full_disk_is_told_and_loses_nothing_synced(tmp_path):
-    entries = filled(tmp_path, 5)
+def test_full_disk_raises_and_loses_no_synced_entry(tmp_path):
+    entries = write_entries(tmp_path, 5)
     storage = Storage(tmp_path, FullDisk(20))
     storage.load()
     with pytest.raises(StorageError, match="No space left"):
@@ -136,7 +136,7 @@
     assert load(tmp_path).log.entries == entries
 
 
-def test_a_folder_serves_one_process(tmp_path):
+def test_a_folder_is_locked_by_one_process(tmp_path):
     storage = Storage(tmp_path)
     with pytest.raises(StorageError):
         Storage(tmp_path)
--- a/reachlink/agreement/tests/world.py
+++ b/reachlink/agreement/tests/world.py
@@ -46,16 +46,16 @@
     snapshot: bytes | None = None
 
     def persist(self, effects: Effects, term: int, voted_for: str, core_log: Log) -> None:
-        if effects.hard_state or effects.install:
+        if effects.hard_state or effects.install_snapshot:
             self.term, self.voted_for = term, voted_for
-        if effects.install:
-            install = effects.install
-            self.snapshot = install.data
-            self.log.reset(install.index, install.index_term, install.members)
+        if effects.install_snapshot:
+            snapshot = effects.install_snapshot
+            self.snapshot = snapshot.data
+            self.log.reset(snapshot.index, snapshot.index_term, snapshot.members)
             self.log.append(core_log.entries)
             return
-        if effects.cut_from is not None:
-            self.log.cut_from(effects.cut_from)
+        if effects.truncate_from is not None:
+            self.log.truncate_from(effects.truncate_from)
         self.log.append(effects.append)
 
     def copy_log(self) -> Log:
@@ -93,10 +93,10 @@
             world.now,
         )
 
-    def carry_out(self) -> None:
+    def execute_effects(self) -> None:
         core, world = self.core, self.world
         assert core is not None
-        effects = core.take_effects()
+        effects = core.pop_effects()
         if world.random.random() < world.crash_rate:
             # Crash with all or none of this step on disk, before anything is sent.
             if world.random.random() < 0.5:
@@ -104,9 +104,9 @@
             self.core = None
             return
         self._persist(effects)
-        if effects.install:
-            self.machine.restore(effects.install.data)
-            self.applied = effects.install.index
+        if effects.install_snapshot:
+            self.machine.restore(effects.install_snapshot.data)
+            self.applied = effects.install_snapshot.index
         for to, message in effects.messages:
             world.network.append((self.node_id, to, message))
         for to in effects.snapshot_to:
@@ -117,7 +117,7 @@
         core.step_down_if_removed(world.now)
         if self.applied - core.state.log.snapshot_index >= SNAPSHOT_EVERY:
             self._compact()
-        world.note_leader(self)
+        world.check_leader(self)
 
     def _persist(self, effects: Effects) -> None:
         state = self.core.state
@@ -126,14 +126,14 @@
     def _apply(self, entry: Entry) -> None:
         if entry.index != self.applied + 1:
             raise BrokenPromiseError(f"{self.node_id} applies {entry.index} after {self.applied}")
-        self.world.note_committed(self, entry)
+        self.world.check_committed(self, entry)
         self.applied = entry.index
         if entry.kind is EntryKind.COMMAND:
             before = self.machine.tree.revision
             result = self.machine.apply(entry.index, entry.term, entry.data)
             if self.machine.tree.revision < before:
                 raise BrokenPromiseError("a revision decreased")
-            self.world.note_result(entry, result)
+            self.world.check_result(entry, result)
 
     def _compact(self) -> None:
         core = self.core
@@ -161,7 +161,7 @@
         self.edits: list[EditCommand] = []
         self.lost_at = float("-inf")
         founding = [Member(f"n{i}", "", "", True) for i in range(voters)]
-        self.names = voters
+        self.created_nodes = voters
         self.nodes = {m.node_id: Node(self, m.node_id, founding) for m in founding}
         for node in self.nodes.values():
             node.start()
@@ -176,7 +176,7 @@
         actions = [
             (self.deliver_some, 60),
             (self.pass_time, 25),
-            (self.client, 10),
+            (self.propose_edit, 10),
             (self.partition, 1),
             (self.restart, 2),
             (self.change_members, 2),
@@ -186,7 +186,7 @@
         for action in self.random.choices(names, weights, k=steps):
             action()
 
-    def heal_and_settle(self) -> None:
+    def check_liveness(self) -> None:
         """Check liveness: once every replica runs, an edit is accepted in bounded time."""
         self.blocked.clear()
         self.crash_rate = 0.0
@@ -196,7 +196,7 @@
         before = len([r for r in self.results.values() if r.status is EditStatus.ACCEPTED])
         for _ in range(400):
             self.pass_time(0.05)
-            self.client()
+            self.propose_edit()
             for _ in range(40):
                 self.deliver()
             done = [r for r in self.results.values() if r.status is EditStatus.ACCEPTED]
@@ -225,16 +225,16 @@
         node = self.nodes[to]
         if node.core is not None:
             node.core.receive(sender, message, self.now)
-            node.carry_out()
+            node.execute_effects()
 
     def pass_time(self, most: float = 0.12) -> None:
         self.now += self.random.uniform(0.0, most)
         for node in self.running():
             if node.core.next_due() <= self.now:
                 node.core.tick(self.now)
-                node.carry_out()
+                node.execute_effects()
 
-    def client(self) -> None:
+    def propose_edit(self) -> None:
         """Propose an edit based on the revision of a random replica, or resend an earlier edit."""
         running = self.running()
         if not running:
@@ -254,7 +254,7 @@
                 leader.core.propose([encode(command)], self.now)
             except NotLeaderError:
                 continue
-            leader.carry_out()
+            leader.execute_effects()
 
     def partition(self) -> None:
         self.blocked.clear()
@@ -281,14 +281,14 @@
             return
         leaders = [n for n in self.running() if n.core.is_leader]
         for leader in leaders:
-            members = self._changed(leader)
+            members = self._random_membership(leader)
             try:
                 leader.core.propose_members(members, self.now)
             except (MembershipChangeError, NotLeaderError):
                 continue
-            leader.carry_out()
+            leader.execute_effects()
 
-    def _changed(self, leader: Node) -> list[Member]:
+    def _random_membership(self, leader: Node) -> list[Member]:
         members = list(leader.core.state.members)
         learners = [m for m in members if not m.voting]
         voters = [m for m in members if m.voting]
@@ -304,8 +304,8 @@
         return members
 
     def _new_node(self) -> str:
-        name = f"n{self.names}"
-        self.names += 1
+        name = f"n{self.created_nodes}"
+        self.created_nodes += 1
         self.nodes[name] = Node(self, name, [])
         self.nodes[name].start()
         return name
@@ -329,7 +329,7 @@
                 return not voters
         return True
 
-    def note_leader(self, node: Node) -> None:
+    def check_leader(self, node: Node) -> None:
         if node.core is None or not node.core.is_leader:
             return
         state = node.core.state
@@ -337,14 +337,14 @@
         if first != node.node_id:
             raise BrokenPromiseError(f"{first} and {node.node_id} both lead term {state.term}")
 
-    def note_committed(self, node: Node, entry: Entry) -> None:
+    def check_committed(self, node: Node, entry: Entry) -> None:
         first = self.committed.setdefault(entry.index, entry)
         if first != entry:
             raise BrokenPromiseError(
                 f"{node.node_id} commits another entry {entry.index}: {entry} after {first}"
             )
 
-    def note_result(self, entry: Entry, result: object) -> None:
+    def check_result(self, entry: Entry, result: object) -> None:
         if not isinstance(result, EditResult):
             return
         edit_id = decode_edit_id(entry)
--- a/reachlink/control/_daemon.py
+++ b/reachlink/control/_daemon.py
@@ -196,7 +196,7 @@
         raise StorageError(f"{config.folder} already belongs to a control instance")
     storage = Storage(config.folder)
     identity = Identity(cluster, founding_id(config.name), members)
-    storage.found(identity)
+    storage.write_identity(identity)
     storage.close()
     return identity
 
@@ -212,7 +212,7 @@
     if not founder or storage.has_identity:
         return
     members = [Member(founding_id(a), a, "", True) for a in sorted(set(config.seeds))]
-    storage.found(Identity("", founding_id(config.bus_address), members))
+    storage.write_identity(Identity("", founding_id(config.bus_address), members))
 
 
 def founding_id(name: str) -> str:
--- a/reachlink/control/_server.py
+++ b/reachlink/control/_server.py
@@ -150,7 +150,7 @@
         deadline = now + request.wait_s
         while self._machine.tree.revision <= request.revision:
             left = deadline - self._clock.monotonic()
-            if left <= 0 or not self._service.hears_leader:
+            if left <= 0 or not self._service.has_leader_contact:
                 break
             await self._wait_change(min(left, STALE_CHECK_S))
         answer = self._settings_since(request, fresh)
@@ -281,7 +281,7 @@
 
     def _settings_since(self, request: WatchRequest, fresh: bool) -> SettingsAnswer:
         tree = self._machine.tree
-        stale = not self._service.hears_leader
+        stale = not self._service.has_leader_contact
         controls = [
             InstanceRecord(m.node_id, m.address, m.availability_zone)
             for m in self._service.core.state.members
@@ -316,7 +316,7 @@
             progress = state.progress.get(member.node_id)
             own = member.node_id == state.node_id
             match = state.log.last_index if own else progress.match_index if progress else -1
-            silent = 0.0 if own else now - progress.heard_at if progress else -1.0
+            silent = 0.0 if own else now - progress.last_reply_at if progress else -1.0
             statuses.append(
                 ReplicaStatus(
                     member.node_id,
--- a/reachlink/kernel/tests/test_layers.py
+++ b/reachlink/kernel/tests/test_layers.py
@@ -33,7 +33,7 @@
     *(ROOT / "settings").glob("_*.py"),
     *(ROOT / "routing").glob("_*.py"),
     ROOT / "agreement" / "_core.py",
-    ROOT / "agreement" / "_steward.py",
+    ROOT / "agreement" / "_membership_planner.py",
     ROOT / "agreement" / "_election.py",
     ROOT / "agreement" / "_replication.py",
     ROOT / "agreement" / "_log.py",
--- a/reachlink/testing/_settings_world.py
+++ b/reachlink/testing/_settings_world.py
@@ -101,7 +101,7 @@
     def __init__(self) -> None:
         state = SimpleNamespace(members=CONTROLS, node_id="c0", leader="c0")
         service: Any = SimpleNamespace(
-            hears_leader=True, core=SimpleNamespace(is_leader=True, state=state)
+            has_leader_contact=True, core=SimpleNamespace(is_leader=True, state=state)
         )
         nothing: Any = None
         self.machine = ControlMachine()
