--- a/reachlink/coordination/_pace_exchange.py
+++ b/reachlink/coordination/_pace_exchange.py
@@ -146,5 +146,5 @@
         """Return whether an update is about the current lifetime of a replica, noting a new one."""
         if 0 < update.born < self._directory.born(update.replica):
             return False
-        self._directory.note_born(update.replica, update.born, now)
+        self._directory.record_start(update.replica, update.born, now)
         return True
--- a/reachlink/coordination/tests/test_initial_replica_list.py
+++ b/reachlink/coordination/tests/test_initial_replica_list.py
@@ -17,7 +17,7 @@
     member = Instance(network, "m1", queues=queues)
     for instance in (coordinator, member):
         instance.update_roster(coordinator)
-    coordinator.directory.hear(REPLICAS[:1], network.now)
+    coordinator.directory.apply_peer_list(REPLICAS[:1], network.now)
     network.now += 10.0
     return network, coordinator, member
 
@@ -48,7 +48,7 @@
         await member.poll_coordinator()
         before = live_names(member)
         fresh = ReplicaDirectory()
-        fresh.hear(REPLICAS[:1], network.now)
+        fresh.apply_peer_list(REPLICAS[:1], network.now)
         coordinator.coordinator._directory = fresh
         await member.poll_coordinator()
         return before, live_names(member)
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -125,8 +125,10 @@
 def test_pace_of_earlier_lifetime_is_ignored_and_of_new_lifetime_replaces_estimate():
     c1 = single_coordinator()
     started: list[str] = []
-    c1.directory.on_started_again(lambda name: (started.append(name), c1.book.reset_replica(name)))
-    c1.directory.note_born("r1", 2_000, c1.clock())
+    c1.directory.set_restart_listener(
+        lambda name: (started.append(name), c1.book.reset_replica(name))
+    )
+    c1.directory.record_start("r1", 2_000, c1.clock())
     c1.paces.apply_from_coordinator("c2", [PaceUpdate("r1", 55, born=1_000)])
     assert (steady(c1, "r1"), started) == (1.0, [])
     report_pace(c1, "r1", 0.55)
--- a/reachlink/delivery/_rhythm.py
+++ b/reachlink/delivery/_rhythm.py
@@ -59,7 +59,7 @@
         self.mean_s += _GAIN_MEAN * error
         self.deviation_s += _GAIN_DEVIATION * (abs(error) - self.deviation_s)
 
-    def patience_s(self) -> float:
+    def stall_timeout_s(self) -> float:
         """Return the time without a batch after which the stream counts as stalled."""
         if self.seen == 0:
             return self.first_token_s
--- a/reachlink/delivery/_stream.py
+++ b/reachlink/delivery/_stream.py
@@ -95,7 +95,7 @@
         self.forwarded = offset
 
     @property
-    def fruitless_resumes(self) -> int:
+    def resumes_without_token(self) -> int:
         """Number of resumes since the last new token."""
         return self._resumes
 
--- a/reachlink/entry/_answers.py
+++ b/reachlink/entry/_answers.py
@@ -349,7 +349,7 @@
         self._node.metrics.resumes.add(1, {"service": self._job.service.name})
         last = "unknown"
         # The first resume goes out at once; an engine that gives nothing gets time.
-        await asyncio.sleep(RESUME_PAUSE_S * (self._delivery.fruitless_resumes - 1))
+        await asyncio.sleep(RESUME_PAUSE_S * (self._delivery.resumes_without_token - 1))
         for attempt in range(1, self._delivery.max_resumes + 1):
             try:
                 async with asyncio.timeout(RESUME_TIMEOUT_S):
--- a/reachlink/entry/_config.py
+++ b/reachlink/entry/_config.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from reachlink.quarantine import CRASHES_TO_HOLD, KEPT_S
+from reachlink.quarantine import CRASH_RETENTION_S, CRASHES_TO_HOLD
 
 
 class PeerConfig(msgspec.Struct, kw_only=True, frozen=True, forbid_unknown_fields=True):
@@ -66,6 +66,6 @@
     cache_interval_s: float = 2.0
     explain_sample: float = 0.01
     crashes_to_hold: float = CRASHES_TO_HOLD
-    crashes_kept_s: float = KEPT_S
+    crashes_kept_s: float = CRASH_RETENTION_S
     held_bytes: Annotated[int, msgspec.Meta(ge=0)] = 0
     otlp_endpoint: str = ""
--- a/reachlink/entry/_daemon.py
+++ b/reachlink/entry/_daemon.py
@@ -207,7 +207,7 @@
             report: LoadReport = await adapter.load(replica)
         except UpstreamError:
             return
-        node.directory.note_born(replica.name, report.born, steady_time())
+        node.directory.record_start(replica.name, report.born, steady_time())
         state = node.ledger.replica(replica.name)
         # A report that stands still says nothing new, however often it is read.
         if report.sequence != state.report.sequence or not report.sequence:
--- a/reachlink/entry/_list_news.py
+++ b/reachlink/entry/_list_news.py
@@ -56,4 +56,4 @@
 
     def take(self, listed: Iterable[ListedReplica]) -> None:
         """Take what another instance has found."""
-        self._directory.hear(to_listed_instances(listed), self._clock())
+        self._directory.apply_peer_list(to_listed_instances(listed), self._clock())
--- a/reachlink/entry/_node.py
+++ b/reachlink/entry/_node.py
@@ -92,7 +92,7 @@
         self.client.on_limit_change = self._tell_limits
         records = [InstanceRecord(p.name, p.address, p.availability_zone) for p in config.peers]
         self.limits.update_roster([*records, self._record()], len(records) + 1)
-        self.directory.on_started_again(self._on_started_again)
+        self.directory.set_restart_listener(self._on_started_again)
         self.crash_news.set_peers([p.address for p in config.peers], alone=not config.peers)
         self.quarantine.listen(self._tell_crashes)
         self.metrics = EntryMetrics(config)
@@ -134,7 +134,7 @@
 
     async def on_settings(self) -> None:
         """Newer settings are in force: what waits may have room now."""
-        self.directory.take_out_of_service(self.tree.zones_out_of_service, steady_time())
+        self.directory.set_zones_out_of_service(self.tree.zones_out_of_service, steady_time())
         self.pump()
 
     def adapter(self, name: str) -> Any:
@@ -225,7 +225,7 @@
     def _on_started_again(self, replica: str) -> None:
         """A replica has started again under its name: it holds and knows nothing of before."""
         self.ledger.start_again(replica)
-        self.guard.on_started_again(replica)
+        self.guard.on_replica_restarted(replica)
         self.log.info("upstream_started_again", replica=replica, born=self.directory.born(replica))
 
     def on_resumed(self, suspended_s: float) -> None:
--- a/reachlink/entry/_relay_config.py
+++ b/reachlink/entry/_relay_config.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from reachlink.entry._config import PlatformSource
-from reachlink.quarantine import CRASHES_TO_HOLD, KEPT_S
+from reachlink.quarantine import CRASH_RETENTION_S, CRASHES_TO_HOLD
 from reachlink.scheduling import SchedulingSettings
 
 
@@ -82,6 +82,6 @@
     retry_burst: float = 20.0
     connect_timeout_s: float = 0.25
     crashes_to_hold: float = CRASHES_TO_HOLD
-    crashes_kept_s: float = KEPT_S
+    crashes_kept_s: float = CRASH_RETENTION_S
     zone_regions: dict[str, str] = {}
     scheduling: SchedulingSettings = SchedulingSettings()
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -200,7 +200,7 @@
         )
         self._stand_in_line()
         self.reports.on_departure = self.coordinator.notify_members
-        self.directory.on_started_again(self._on_started_again)
+        self.directory.set_restart_listener(self._on_started_again)
         self.quarantine.listen(self._tell_at_once)
 
     def _line_exchange(self) -> QueueOwner | None:
--- a/reachlink/entry/_report_reader.py
+++ b/reachlink/entry/_report_reader.py
@@ -212,7 +212,7 @@
         if 0 < news.born < self._directory.born(news.replica):
             # Read before it started again.
             return
-        if self._directory.note_born(news.replica, news.born, self._clock()):
+        if self._directory.record_start(news.replica, news.born, self._clock()):
             self._book.notify_listeners()
             self.on_departure()
         newest = self._book.state(news.replica).record_report(news, read_at)
--- a/reachlink/entry/_stall_watch.py
+++ b/reachlink/entry/_stall_watch.py
@@ -34,7 +34,7 @@
         self.fired = False
 
     def __enter__(self) -> "StallWatch":
-        self._arm(self._rhythm.patience_s())
+        self._arm(self._rhythm.stall_timeout_s())
         return self
 
     def __exit__(
@@ -59,7 +59,7 @@
 
     def _look(self) -> None:
         quiet = steady_time() - self._rhythm.last_at
-        left = self._rhythm.patience_s() - quiet
+        left = self._rhythm.stall_timeout_s() - quiet
         if self._paused or left > 0:
             self._arm(max(left, self._rhythm.floor_s))
             return
--- a/reachlink/entry/_zones_in_force.py
+++ b/reachlink/entry/_zones_in_force.py
@@ -45,7 +45,7 @@
         before = self._directory.out_of_service
         if zones == before:
             return
-        self._directory.take_out_of_service(zones, self._clock())
+        self._directory.set_zones_out_of_service(zones, self._clock())
         self._log.info(
             "zones_out_of_service",
             zones=",".join(sorted(zones)),
--- a/reachlink/entry/tests/test_report_reader.py
+++ b/reachlink/entry/tests/test_report_reader.py
@@ -91,7 +91,7 @@
 def test_a_pace_that_comes_with_a_report_counts_for_the_life_that_it_is_of():
     directory, book, adapter = ReplicaDirectory(), ReplicaTracker(), Paces()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    directory.on_started_again(book.reset_replica)
+    directory.set_restart_listener(book.reset_replica)
     reader = ReportReader("e1", adapter, directory, book, list, lambda: 5.0, ShutdownTimes())
     replica = directory.find("r1")
     assert replica is not None
--- a/reachlink/membership/_directory.py
+++ b/reachlink/membership/_directory.py
@@ -129,7 +129,7 @@
         """Availability zones that an operator took out of service: no new work is sent there."""
         return self._out_of_service
 
-    def take_out_of_service(self, zones: Set[str], now: float) -> None:
+    def set_zones_out_of_service(self, zones: Set[str], now: float) -> None:
         """Set the availability zones that are out of service from now on."""
         self._back_at.update(dict.fromkeys(self._out_of_service - zones, now))
         self._out_of_service = frozenset(zones)
@@ -155,7 +155,7 @@
         self._is_whole = True
         return news
 
-    def hear(self, listed: Iterable[ListedInstance], now: float) -> None:
+    def apply_peer_list(self, listed: Iterable[ListedInstance], now: float) -> None:
         """Apply what a peer found new in its copy of the list.
 
         The peer's copy may be older than the one here. It adds instances and marks
@@ -172,7 +172,7 @@
             if instance.state is InstanceState.LEAVING:
                 self.mark_leaving(instance.name, LeavingSource.LIST, now)
 
-    def know(self, name: str, upstream: str, zone: str, address: str) -> Replica:
+    def get_or_add(self, name: str, upstream: str, zone: str, address: str) -> Replica:
         """Return an instance that a peer named; add it if it is unknown."""
         entry = self._entries.get(name)
         if entry is None:
@@ -212,7 +212,7 @@
         self._live.clear()
         return True
 
-    def note_born(self, name: str, born: int, now: float) -> bool:
+    def record_start(self, name: str, born: int, now: float) -> bool:
         """Record the start time of an instance; return whether the instance has restarted.
 
         Parameters
@@ -244,7 +244,7 @@
         entry = self._entries.get(name)
         return entry.born if entry is not None else 0
 
-    def on_started_again(self, listener: Callable[[str], None]) -> None:
+    def set_restart_listener(self, listener: Callable[[str], None]) -> None:
         """Set the listener that is called with the name of each instance that restarts."""
         self._on_started_again = listener
 
@@ -343,7 +343,7 @@
         if 0 < instance.born < entry.born:
             # Refers to the process before the restart: the list or the peer lags.
             return False
-        self.note_born(instance.name, instance.born, now)
+        self.record_start(instance.name, instance.born, now)
         turned_cold = _note_cold(entry, instance.cold_s, now)
         came_back = _came_back(entry)
         unconfirmed = entry.marked is not None and now - entry.marked_at > self._unconfirmed_mark_s
--- a/reachlink/membership/tests/test_membership.py
+++ b/reachlink/membership/tests/test_membership.py
@@ -155,9 +155,9 @@
 def test_peer_report_applies_at_once_and_clears_no_mark():
     directory = ReplicaDirectory()
     directory.update([one("r1")], 0.0)
-    directory.hear([one("r2"), one("r1", InstanceState.LEAVING)], 1.0)
+    directory.apply_peer_list([one("r2"), one("r1", InstanceState.LEAVING)], 1.0)
     assert [r.name for r in directory.live("chat")] == ["r2"]
-    directory.hear([one("r1")], 1.1)
+    directory.apply_peer_list([one("r1")], 1.1)
     assert [r.name for r in directory.live("chat")] == ["r2"]
     assert directory.leaving("chat", 0.5) == ["r1"]
     assert directory.leaving("chat", 1.5) == []
@@ -165,7 +165,7 @@
 
 def test_older_list_does_not_hide_instance_reported_by_peer():
     directory = ReplicaDirectory()
-    directory.hear([one("r2")], 1.0)
+    directory.apply_peer_list([one("r2")], 1.0)
     directory.update([one("r1")], 1.5)
     assert directory.may_get_work("r2")
     directory.update([one("r1")], 2.5)
@@ -181,23 +181,23 @@
         ],
         0.0,
     )
-    directory.take_out_of_service({"b"}, 0.0)
+    directory.set_zones_out_of_service({"b"}, 0.0)
     assert [r.name for r in directory.live("chat")] == ["r1"]
     assert not directory.may_get_work("r2") and directory.stays("r2")
     assert {r.name for r in directory.staying("chat")} == {"r1", "r2"}
     # The order also applies to an instance that is added later.
-    directory.hear([ListedInstance("r3", "chat", "b", "127.0.0.1:3")], 1.0)
+    directory.apply_peer_list([ListedInstance("r3", "chat", "b", "127.0.0.1:3")], 1.0)
     assert not directory.may_get_work("r3")
-    directory.take_out_of_service(set(), 0.0)
+    directory.set_zones_out_of_service(set(), 0.0)
     assert {r.name for r in directory.live("chat")} == {"r1", "r2", "r3"}
 
 
 def test_zone_returned_to_service_counts_as_cold_for_list_delay():
     directory = ReplicaDirectory()
     directory.update([ListedInstance("r1", "chat", "a", "127.0.0.1:1")], 0.0)
-    directory.take_out_of_service({"a"}, 1.0)
+    directory.set_zones_out_of_service({"a"}, 1.0)
     assert directory.cold_s("r1", 2.0) == 0.0
-    directory.take_out_of_service(set(), 5.0)
+    directory.set_zones_out_of_service(set(), 5.0)
     assert directory.cold_s("r1", 5.0) == 4.0
     assert directory.cold_s("r1", 9.5) == 0.0
 
@@ -217,7 +217,7 @@
 def test_cold_instance_reported_by_peer_is_cold_here():
     directory = ReplicaDirectory()
     directory.update([ListedInstance("r1", "chat", "a", "127.0.0.1:1")], 0.0)
-    directory.hear([ListedInstance("r1", "chat", "a", "127.0.0.1:1", cold_s=2.0)], 1.0)
+    directory.apply_peer_list([ListedInstance("r1", "chat", "a", "127.0.0.1:1", cold_s=2.0)], 1.0)
     assert directory.cold_s("r1", 1.0) == 2.0
 
 
--- a/reachlink/membership/tests/test_started_again.py
+++ b/reachlink/membership/tests/test_started_again.py
@@ -19,8 +19,8 @@
     made = ReplicaDirectory(unconfirmed_mark_s=30.0)
     made.update(listed(), 0.0)
     again: list[str] = []
-    made.on_started_again(again.append)
-    made.note_born("r1", born, 0.0)
+    made.set_restart_listener(again.append)
+    made.record_start("r1", born, 0.0)
     return made, again
 
 
@@ -32,7 +32,7 @@
     else:
         made.mark_leaving("r1", source, 1.0)
     assert not made.may_get_work("r1")
-    assert made.note_born("r1", 200, 2.0)
+    assert made.record_start("r1", 200, 2.0)
     assert made.may_get_work("r1")
     assert made.leaving("chat", 0.0) == []
     assert again == ["r1"]
@@ -41,7 +41,7 @@
 def test_restarted_instance_can_be_marked_again():
     made, _ = directory()
     made.mark_leaving("r1", LeavingSource.REPORT, 1.0)
-    made.note_born("r1", 200, 2.0)
+    made.record_start("r1", 200, 2.0)
     assert made.mark_leaving("r1", LeavingSource.REPORT, 3.0)
     assert not made.may_get_work("r1")
 
@@ -50,14 +50,14 @@
 def test_same_or_earlier_start_time_is_not_a_restart(born):
     made, again = directory()
     made.mark_leaving("r1", LeavingSource.REPORT, 1.0)
-    assert not made.note_born("r1", born, 2.0)
+    assert not made.record_start("r1", born, 2.0)
     assert not made.may_get_work("r1")
     assert again == []
 
 
 def test_list_with_earlier_start_time_is_ignored():
     made, _ = directory()
-    made.note_born("r1", 200, 1.0)
+    made.record_start("r1", 200, 1.0)
     made.update(listed(100, LEAVING), 2.0)
     assert made.may_get_work("r1")
     made.update(listed(200, LEAVING), 3.0)
--- a/reachlink/quarantine/__init__.py
+++ b/reachlink/quarantine/__init__.py
@@ -31,7 +31,7 @@
     QuarantineNote,
     ReleaseOrder,
 )
-from reachlink.quarantine._quarantine import KEPT_S, MAX_KEPT, TOLD_S, Quarantine
+from reachlink.quarantine._quarantine import CRASH_RETENTION_S, MAX_KEPT, NOTE_REPEAT_S, Quarantine
 from reachlink.quarantine.exceptions import HELD, HeldRequestError, QuarantineError
 
 __all__ = [
@@ -40,9 +40,9 @@
     "CHANNEL_RELEASE",
     "CRASHES_TO_HOLD",
     "HELD",
-    "KEPT_S",
+    "CRASH_RETENTION_S",
     "MAX_KEPT",
-    "TOLD_S",
+    "NOTE_REPEAT_S",
     "BrokenRun",
     "ClearanceNote",
     "Crash",
--- a/reachlink/quarantine/_crash_watch.py
+++ b/reachlink/quarantine/_crash_watch.py
@@ -124,7 +124,7 @@
         else:
             self._keep_undecided(run)
 
-    def on_started_again(self, replica: str) -> None:
+    def on_replica_restarted(self, replica: str) -> None:
         """Count recent broken runs of a replica as crashes, since the replica has restarted."""
         since = self._clock() - UNDECIDED_S
         for run in self._undecided.pop(replica, ()):
--- a/reachlink/quarantine/_guard.py
+++ b/reachlink/quarantine/_guard.py
@@ -94,9 +94,9 @@
         """Handle a connection that ended before its answer was complete."""
         self._watch.on_broken(run)
 
-    def on_started_again(self, replica: str) -> None:
+    def on_replica_restarted(self, replica: str) -> None:
         """Handle the restart of a replica under the same name."""
-        self._watch.on_started_again(replica)
+        self._watch.on_replica_restarted(replica)
 
     def on_answer(self, fingerprint: int) -> None:
         """Clear a request that got a complete answer from a replica that is still up."""
--- a/reachlink/quarantine/_quarantine.py
+++ b/reachlink/quarantine/_quarantine.py
@@ -12,10 +12,10 @@
 # program of the replica, which does not change within minutes, and each crash ends all
 # requests at the replica. An hour after its first crash, a held request gets one more
 # attempt; one crash holds it again.
-KEPT_S = 3600.0
+CRASH_RETENTION_S = 3600.0
 # Time in seconds for which a new note is repeated to peers. Several messages carry it, so
 # that one of them may be lost; further losses are detected by differing digests.
-TOLD_S = 0.4
+NOTE_REPEAT_S = 0.4
 # Maximum number of involvements kept, at about 250 B each. A crash adds one for each
 # request that ran at the replica. If there are too many, the requests with the fewest
 # involvements are dropped first, and held requests only after all others.
@@ -59,7 +59,7 @@
         self,
         random: Random,
         crashes_to_hold: float = CRASHES_TO_HOLD,
-        kept_s: float = KEPT_S,
+        kept_s: float = CRASH_RETENTION_S,
     ) -> None:
         self._random = random
         self._crashes_to_hold = crashes_to_hold
@@ -153,8 +153,8 @@
         return any(news)
 
     def news(self, now: float) -> QuarantineNote:
-        """Return a message with the notes of the last `TOLD_S` seconds."""
-        while self._recent and self._recent[0][0] < now - TOLD_S:
+        """Return a message with the notes of the last `NOTE_REPEAT_S` seconds."""
+        while self._recent and self._recent[0][0] < now - NOTE_REPEAT_S:
             self._recent.popleft()
         return self._note(now, [note_id for _, note_id in self._recent])
 
--- a/reachlink/quarantine/tests/test_guard.py
+++ b/reachlink/quarantine/tests/test_guard.py
@@ -80,9 +80,9 @@
         guard.on_broken(broken())
         await asyncio.sleep(0.35)
         assert quarantine.held(now[0]) == []
-        guard.on_started_again("r2")
+        guard.on_replica_restarted("r2")
         assert quarantine.held(now[0]) == []
-        guard.on_started_again("r1")
+        guard.on_replica_restarted("r1")
         assert [verdict.fingerprint for verdict in quarantine.held(now[0])] == [GUILTY]
 
     asyncio.run(work())
@@ -114,7 +114,7 @@
         guard.on_broken(broken())
         await asyncio.sleep(0.35)
         now[0] = 60.0
-        guard.on_started_again("r1")
+        guard.on_replica_restarted("r1")
         assert quarantine.held(now[0]) == []
 
     asyncio.run(work())
--- a/reachlink/quarantine/tests/test_quarantine.py
+++ b/reachlink/quarantine/tests/test_quarantine.py
@@ -5,7 +5,13 @@
 import msgspec
 import pytest
 
-from reachlink.quarantine import KEPT_S, MAX_KEPT, Fingerprinter, Quarantine, QuarantineNote
+from reachlink.quarantine import (
+    CRASH_RETENTION_S,
+    MAX_KEPT,
+    Fingerprinter,
+    Quarantine,
+    QuarantineNote,
+)
 
 GUILTY, OTHER = 1, 2
 
@@ -66,10 +72,10 @@
     quarantine = Quarantine(Random(1))
     for at in (1.0, 2.0, 3.0):
         crash(quarantine, at)
-    assert quarantine.verdict(GUILTY, KEPT_S) is not None
-    assert quarantine.verdict(GUILTY, KEPT_S + 1.5) is None
-    crash(quarantine, KEPT_S + 1.6)
-    assert quarantine.verdict(GUILTY, KEPT_S + 1.6) is not None
+    assert quarantine.verdict(GUILTY, CRASH_RETENTION_S) is not None
+    assert quarantine.verdict(GUILTY, CRASH_RETENTION_S + 1.5) is None
+    crash(quarantine, CRASH_RETENTION_S + 1.6)
+    assert quarantine.verdict(GUILTY, CRASH_RETENTION_S + 1.6) is not None
 
 
 def test_request_without_fingerprint_is_never_held():
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -55,7 +55,7 @@
     def cold_s(self, name: str, now: float) -> float:
         """Return the time in seconds until a replica is warm; 0 for a warm one."""
 
-    def know(self, name: str, upstream: str, zone: str, address: str) -> Replica:
+    def get_or_add(self, name: str, upstream: str, zone: str, address: str) -> Replica:
         """Return a replica that another instance has named; add it if it is unknown."""
 
     def leaving(self, upstream: str, since: float) -> list[str]:
--- a/reachlink/requests/_placer.py
+++ b/reachlink/requests/_placer.py
@@ -203,7 +203,7 @@
         listed = answer.replica
         if listed is None:
             return None
-        replica = self._parts.directory.know(
+        replica = self._parts.directory.get_or_add(
             listed.name, listed.service, listed.availability_zone, listed.address
         )
         return replica if self.takes_work(replica) else None
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -42,7 +42,7 @@
 
     def on_replica_restarted(self, replica: str) -> None:
         """Handle that a replica has restarted under the same name."""
-        self._dispatch.guard.on_started_again(replica)
+        self._dispatch.guard.on_replica_restarted(replica)
 
     def on_resumed(self) -> None:
         """Handle the end of a suspension of the machine.
--- a/reachlink/requests/tests/test_first_list.py
+++ b/reachlink/requests/tests/test_first_list.py
@@ -68,7 +68,7 @@
     setup = world_without_list()
 
     async def scenario():
-        setup.directory.hear([ListedInstance("m1", "model", "a", "m1:1")], loop_time())
+        setup.directory.apply_peer_list([ListedInstance("m1", "model", "a", "m1:1")], loop_time())
         _, result = await asyncio.gather(
             list_replicas_after(setup, 0.2), run_request(setup, RequestKind.REPEATABLE)
         )
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -250,7 +250,7 @@
     setup = virtual_time_world("a a a", "m", script=answering(200, stream(1, 3), 0.4, BROKEN))
     setup.adapter.move_result = MOVED
     for name in setup.zones:
-        setup.directory.note_born(name, 100, 0.0)
+        setup.directory.record_start(name, 100, 0.0)
 
     async def scenario():
         running = asyncio.create_task(setup.run(RequestKind.STREAM, output_tokens=300))
@@ -259,7 +259,7 @@
         await wait_until(lambda: setup.adapter.moves)
         # No other copy is complete in time.
         setup.adapter.move_takes_s = 5.0
-        setup.directory.note_born(setup.adapter.moves[0][1], 200, 0.0)
+        setup.directory.record_start(setup.adapter.moves[0][1], 200, 0.0)
         with pytest.raises(StreamCutError):
             await running
 
--- a/reachlink/requests/tests/test_zones.py
+++ b/reachlink/requests/tests/test_zones.py
@@ -23,7 +23,7 @@
 
 def test_requests_go_to_zones_in_service_only():
     made = world_with_script("a a b", script=answering(200, b"whole"))
-    made.directory.take_out_of_service({"a"}, 0.0)
+    made.directory.set_zones_out_of_service({"a"}, 0.0)
     for _ in range(10):
         asyncio.run(made.run(RequestKind.REPEATABLE))
     assert {sent.replica for sent in made.adapter.sent} == {"p3"}
@@ -31,7 +31,7 @@
 
 def test_request_fails_at_once_if_all_zones_are_out_of_service():
     made = world_with_script("a b", "m", script=answering(200, stream(1, 3)))
-    made.directory.take_out_of_service({"a", "b"}, 0.0)
+    made.directory.set_zones_out_of_service({"a", "b"}, 0.0)
 
     async def scenario():
         started = steady_time()
@@ -53,7 +53,7 @@
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM, output_tokens=150))
         await wait_until(lambda: made.adapter.sent)
-        made.directory.take_out_of_service({made.zones[made.adapter.sent[0].replica]}, 0.0)
+        made.directory.set_zones_out_of_service({made.zones[made.adapter.sent[0].replica]}, 0.0)
         return await running
 
     sink = asyncio.run(scenario())
@@ -69,7 +69,7 @@
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         await wait_until(lambda: made.adapter.moves)
         _, target, _ = made.adapter.moves[0]
-        made.directory.take_out_of_service({made.zones[target]}, 0.0)
+        made.directory.set_zones_out_of_service({made.zones[target]}, 0.0)
         await wait_until(lambda: {t for _, t, _ in made.adapter.moves} - {target})
         running.cancel()
         return target
@@ -87,7 +87,7 @@
     async def scenario():
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         await wait_until(lambda: made.adapter.sent)
-        made.directory.take_out_of_service({made.zones[made.adapter.sent[0].backup]}, 0.0)
+        made.directory.set_zones_out_of_service({made.zones[made.adapter.sent[0].backup]}, 0.0)
         await asyncio.gather(running, return_exceptions=True)
 
     asyncio.run(scenario())
