--- a/reachlink/upstreams/_bodies.py
+++ b/reachlink/upstreams/_bodies.py
@@ -4,10 +4,10 @@
 from aiohttp.payload import BytesPayload
 
 # Bytes handed on at a time; a connection takes no more while that much is not sent.
-PIECE_BYTES = 64 << 10
+WRITE_CHUNK_BYTES = 64 << 10
 
 
-class BodyInPieces(BytesPayload):
+class FlowControlledBody(BytesPayload):
     """A body whose next piece waits until the receiver takes the one before.
 
     A connection copies what it is given and cannot send at once: a long body that is
@@ -27,6 +27,6 @@
             Bytes to write at the most.
         """
         view = memoryview(self._value)[:content_length]
-        for start in range(0, len(view), PIECE_BYTES):
-            await writer.write(view[start : start + PIECE_BYTES])
+        for start in range(0, len(view), WRITE_CHUNK_BYTES):
+            await writer.write(view[start : start + WRITE_CHUNK_BYTES])
             await writer.drain()
--- a/reachlink/upstreams/_chat_engine.py
+++ b/reachlink/upstreams/_chat_engine.py
@@ -67,7 +67,7 @@
     def __init__(self, response: aiohttp.ClientResponse, generation: str) -> None:
         self._response = response
         self._generation = generation
-        self._rest = b""
+        self._incomplete = b""
         self._ended = False
 
     @property
@@ -96,8 +96,8 @@
         self._response.close()
 
     def _parse(self, piece: bytes) -> list[TokenEvent]:
-        *records, self._rest = (self._rest + piece).split(b"\n\n")
-        if len(self._rest) > MAX_LINE_BYTES:
+        *records, self._incomplete = (self._incomplete + piece).split(b"\n\n")
+        if len(self._incomplete) > MAX_LINE_BYTES:
             raise UpstreamBrokenError("an event is too long")
         events: list[TokenEvent] = []
         for record in records:
@@ -137,7 +137,7 @@
         response = await self._client.dispatch("POST", url, headers, request.body)
         if response.status != 200:
             await raise_refusal(response)
-        return _stream(response)
+        return _open_stream(response)
 
     async def resume(self, replica: Replica, generation: str, offset: int) -> TokenStream:
         """Return the stream of a generation from an offset on."""
@@ -148,7 +148,7 @@
             raise GenerationUnknownError(generation)
         if response.status != 200:
             await raise_refusal(response)
-        return _stream(response)
+        return _open_stream(response)
 
     async def find(self, replica: Replica, request_id: str) -> GenerationInfo:
         """Return the generation that serves a request."""
@@ -225,7 +225,7 @@
     return f"http://{replica.address}/v1/{rest}"
 
 
-def _stream(response: aiohttp.ClientResponse) -> ChatEngineStream:
+def _open_stream(response: aiohttp.ClientResponse) -> ChatEngineStream:
     generation = response.headers.get(GENERATION_HEADER, "")
     if not generation:
         response.close()
--- a/reachlink/upstreams/_connections.py
+++ b/reachlink/upstreams/_connections.py
@@ -16,12 +16,12 @@
 
 # A replica that announces no idle time is taken to close connections after
 # this many seconds.
-USUAL_IDLE_S = 4.0
+DEFAULT_IDLE_TIMEOUT_S = 4.0
 # A connection is not used again this close to the end of its idle time, in
 # seconds: the replica's close may be on its way.
 IDLE_MARGIN_S = 0.7
 
-_TIMEOUT = re.compile(r"timeout=(\d+)")
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 class ReplicaConnection(ResponseHandler):
@@ -36,13 +36,13 @@
         super().__init__(loop=loop)
         self.idle = False
         self.idle_since = 0.0
-        self.idle_s = USUAL_IDLE_S
+        self.idle_timeout_s = DEFAULT_IDLE_TIMEOUT_S
 
     @property
-    def usable(self) -> bool:
+    def reusable(self) -> bool:
         """Whether another request may be sent on it."""
-        rested = steady_time() - self.idle_since
-        return self.is_connected() and rested < self.idle_s - IDLE_MARGIN_S
+        idle_for_s = steady_time() - self.idle_since
+        return self.is_connected() and idle_for_s < self.idle_timeout_s - IDLE_MARGIN_S
 
     def data_received(self, data: bytes) -> None:
         """Take bytes from the replica."""
@@ -53,9 +53,9 @@
 
     def feed_data(self, data: Any, size: int = 0) -> None:
         """Take the head of an answer, which may tell how long the connection rests."""
-        found = _TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
+        found = _KEEP_ALIVE_TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
         if found is not None:
-            self.idle_s = float(found.group(1))
+            self.idle_timeout_s = float(found.group(1))
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -96,25 +96,25 @@
         UpstreamBackoffError
             If it is; nothing is sent then.
         """
-        self._check(req)
+        self._check_backoff(req)
         connection = await super().connect(req, traces, timeout)
         try:
-            self._check(req)
+            self._check_backoff(req)
         except UpstreamBackoffError:
             connection.release()
             raise
         return connection
 
-    def _check(self, req: aiohttp.ClientRequest) -> None:
-        left_s = self._backoffs.remaining_s(address_of(req.url), steady_time())
-        if left_s > 0.0:
-            raise UpstreamBackoffError(left_s)
+    def _check_backoff(self, req: aiohttp.ClientRequest) -> None:
+        remaining_s = self._backoffs.remaining_s(address_of(req.url), steady_time())
+        if remaining_s > 0.0:
+            raise UpstreamBackoffError(remaining_s)
 
     async def _get(self, key: Any, traces: Any) -> Connection | None:
         idle = self._conns.get(key)
         while idle:
             protocol, _ = idle[-1]
-            if isinstance(protocol, ReplicaConnection) and protocol.usable:
+            if isinstance(protocol, ReplicaConnection) and protocol.reusable:
                 break
             idle.pop()
             protocol.close()
--- a/reachlink/upstreams/_events.py
+++ b/reachlink/upstreams/_events.py
@@ -35,12 +35,12 @@
     """
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete = b""
 
     @property
     def rest(self) -> bytes:
         """Bytes of an event that is not whole yet."""
-        return self._rest
+        return self._incomplete
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that are whole after `data`.
@@ -50,29 +50,29 @@
         ValueError
             If an event is larger than `MAX_EVENT_BYTES`.
         """
-        held = self._rest + data if self._rest else data
+        buffer = self._incomplete + data if self._incomplete else data
         events: list[StreamEvent] = []
         start = 0
-        while (end := _event_end(held, start)) > 0:
-            raw = held[start:end]
-            events.append(StreamEvent(_number(raw), raw))
+        while (end := _find_event_end(buffer, start)) > 0:
+            raw = buffer[start:end]
+            events.append(StreamEvent(_event_number(raw), raw))
             start = end
-        self._rest = held[start:]
-        if len(self._rest) > MAX_EVENT_BYTES:
+        self._incomplete = buffer[start:]
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise ValueError("an event is too large")
         return events
 
 
-def _event_end(held: bytes, start: int) -> int:
+def _find_event_end(buffer: bytes, start: int) -> int:
     """Return where the event at `start` ends, or 0 where it is not whole."""
-    plain = held.find(b"\n\n", start)
-    returned = held.find(b"\r\n\r\n", start)
-    if returned >= 0 and (plain < 0 or returned < plain):
-        return returned + 4
-    return plain + 2 if plain >= 0 else 0
+    lf_end = buffer.find(b"\n\n", start)
+    crlf_end = buffer.find(b"\r\n\r\n", start)
+    if crlf_end >= 0 and (lf_end < 0 or crlf_end < lf_end):
+        return crlf_end + 4
+    return lf_end + 2 if lf_end >= 0 else 0
 
 
-def _number(event: bytes) -> int:
+def _event_number(event: bytes) -> int:
     for line in event.split(b"\n"):
         if line.startswith(b"id:"):
             text = line[3:].strip()
--- a/reachlink/upstreams/_http.py
+++ b/reachlink/upstreams/_http.py
@@ -15,7 +15,7 @@
 from reachlink.kernel import steady_time
 from reachlink.pacing import LimitGate, LocalGate, PacingTracker, PermitOptions, parse_limit
 from reachlink.telemetry import get_logger
-from reachlink.upstreams._bodies import PIECE_BYTES, BodyInPieces
+from reachlink.upstreams._bodies import WRITE_CHUNK_BYTES, FlowControlledBody
 from reachlink.upstreams._connections import ReplicaConnector, address_of
 from reachlink.upstreams._retry_after import requested_backoff_s
 from reachlink.upstreams.exceptions import (
@@ -30,18 +30,18 @@
 CONNECT_TIMEOUT_S = 2.0
 CONTROL_TIMEOUT_S = 2.0
 # How long a small request waits for its permit at a replica with a limit, in seconds.
-CONTROL_PATIENCE_S = 0.5
+CONTROL_PERMIT_WAIT_S = 0.5
 MAX_ERROR_BYTES = 64 << 10
 MAX_LINE_BYTES = 1 << 20
 # What is read ahead of an answer where that is bounded, in bytes; the library takes twice that.
 READ_AHEAD_BYTES = 32 << 10
 # Most of an unreadable field that a log line shows, in characters.
-SHOWN_TEXT = 40
+MAX_LOGGED_CHARACTERS = 40
 
 # Field of an answer with the requests a second that a replica takes from all together.
 LIMIT_HEADER = "X-Fleet-Rate-Limit"
 # HTTP statuses of success (RFC 9110, section 15.3).
-_SUCCESS = range(200, 300)
+_SUCCESS_STATUSES = range(200, 300)
 
 # Statuses with which an upstream says that it did not run the request.
 REFUSED_STATUSES = frozenset({400, 404, 409, 413, 422, 429, 503})
@@ -98,26 +98,26 @@
         self._max_connections = max_connections
         self._connect_timeout_s = connect_timeout_s
         self._bounded = bounded
-        self._opened: aiohttp.ClientSession | None = None
+        self._open_session: aiohttp.ClientSession | None = None
         self._log: Any = get_logger()
 
     @property
     def _session(self) -> aiohttp.ClientSession:
-        if self._opened is None:
+        if self._open_session is None:
             connector = ReplicaConnector(
                 self.pacing.backoffs, limit=self._max_connections, ttl_dns_cache=None
             )
             timeout = aiohttp.ClientTimeout(total=None, sock_connect=self._connect_timeout_s)
             options: dict[str, Any] = {"read_bufsize": READ_AHEAD_BYTES} if self._bounded else {}
-            self._opened = aiohttp.ClientSession(
+            self._open_session = aiohttp.ClientSession(
                 connector=connector, timeout=timeout, auto_decompress=False, **options
             )
-        return self._opened
+        return self._open_session
 
     async def close(self) -> None:
         """Close every connection."""
-        if self._opened is not None:
-            await self._opened.close()
+        if self._open_session is not None:
+            await self._open_session.close()
 
     async def dispatch(
         self, method: str, url: str, headers: Mapping[str, str], body: bytes
@@ -135,7 +135,7 @@
         """
         await self.admit(address_of(URL(url)))
         sent_at = steady_time()
-        with _upstream_errors():
+        with _convert_errors():
             response = await self._session.request(
                 method,
                 url,
@@ -144,8 +144,8 @@
                 allow_redirects=False,
                 middlewares=(SingleDispatch(),),
             )
-        self._note_answer(response)
-        self._note_limit(response, sent_at)
+        self._record_backoff(response)
+        self._record_limit(response, sent_at)
         return response
 
     async def relay(
@@ -172,26 +172,26 @@
         if not admitted:
             await self.admit(address_of(URL(url, encoded=True)))
         sent_at = steady_time()
-        with _upstream_errors(ValueError):
+        with _convert_errors(ValueError):
             response = await self._session.request(
                 method,
                 URL(url, encoded=True),
                 headers=CIMultiDict(headers),
-                data=self._sent_as(body),
+                data=self._payload(body),
                 skip_auto_headers=_NO_AUTO_HEADERS,
                 allow_redirects=False,
                 middlewares=(SingleDispatch(),),
             )
-        self._note_answer(response)
-        self._note_limit(response, sent_at)
+        self._record_backoff(response)
+        self._record_limit(response, sent_at)
         return response
 
-    def _sent_as(self, body: bytes) -> "bytes | BodyInPieces | None":
-        if self._bounded and len(body) > PIECE_BYTES:
-            return BodyInPieces(body)
+    def _payload(self, body: bytes) -> "bytes | FlowControlledBody | None":
+        if self._bounded and len(body) > WRITE_CHUNK_BYTES:
+            return FlowControlledBody(body)
         return body or None
 
-    async def admit(self, address: str, patience_s: float = 0.0, background: bool = False) -> None:
+    async def admit(self, address: str, max_wait_s: float = 0.0, background: bool = False) -> None:
         """Return when another request may be sent to a replica, as far as its limit goes.
 
         Whatever is sent passes here: first tries, repeats, continuations, reports and
@@ -201,7 +201,7 @@
         ----------
         address : str
             The replica.
-        patience_s : float
+        max_wait_s : float
             Longest wait for the request's permit, in seconds.
         background : bool
             Whether it gives way to all others.
@@ -216,16 +216,16 @@
         if limit is None:
             return
         now = steady_time()
-        left_s = limits.remaining_s(address, now)
-        if left_s > patience_s and not limits.admits(address, now):
-            raise UpstreamLimitedError(left_s)
-        left_s = await self.gate.acquire(address, limit, PermitOptions(patience_s, background))
-        if left_s <= patience_s:
-            await asyncio.sleep(left_s)
+        remaining_s = limits.remaining_s(address, now)
+        if remaining_s > max_wait_s and not limits.admits(address, now):
+            raise UpstreamLimitedError(remaining_s)
+        remaining_s = await self.gate.acquire(address, limit, PermitOptions(max_wait_s, background))
+        if remaining_s <= max_wait_s:
+            await asyncio.sleep(remaining_s)
             return
         if not background:
-            limits.block(address, left_s, steady_time())
-        raise UpstreamLimitedError(left_s)
+            limits.block(address, remaining_s, steady_time())
+        raise UpstreamLimitedError(remaining_s)
 
     async def connect(self, address: str) -> None:
         """Connect to an address and close the connection.
@@ -252,22 +252,22 @@
         With `background` it gives way to all others where the upstream has named a limit.
         """
         await self.admit(
-            address_of(URL(url)), 0.0 if background else CONTROL_PATIENCE_S, background
+            address_of(URL(url)), 0.0 if background else CONTROL_PERMIT_WAIT_S, background
         )
-        with _upstream_errors():
+        with _convert_errors():
             async with asyncio.timeout(CONTROL_TIMEOUT_S):
                 async with self._session.request(method, url, data=body) as response:
-                    self._note_answer(response)
-                    self._note_limit(response)
+                    self._record_backoff(response)
+                    self._record_limit(response)
                     yield response
 
-    def _note_answer(self, response: aiohttp.ClientResponse) -> None:
+    def _record_backoff(self, response: aiohttp.ClientResponse) -> None:
         """Take what an answer says of when its replica wants to be asked again."""
         address = address_of(response.url)
         try:
             wait_s = requested_backoff_s(response.status, response.headers, time.time())
         except ValueError as error:
-            reason = str(error)[:SHOWN_TEXT]
+            reason = str(error)[:MAX_LOGGED_CHARACTERS]
             self._log.info("backoff_unreadable", address=address, reason=reason)
             return
         if wait_s is None:
@@ -278,7 +278,7 @@
             "backoff_requested", address=address, status=response.status, wait_s=round(wait_s, 3)
         )
 
-    def _note_limit(self, response: aiohttp.ClientResponse, sent_at: float | None = None) -> None:
+    def _record_limit(self, response: aiohttp.ClientResponse, sent_at: float | None = None) -> None:
         """Take what an answer says of how much its replica takes from all together.
 
         Parameters
@@ -292,7 +292,7 @@
         address = address_of(response.url)
         text = response.headers.get(self.limit_header)
         if text is None:
-            succeeded = response.status in _SUCCESS
+            succeeded = response.status in _SUCCESS_STATUSES
             ends = sent_at is not None and succeeded
             if ends and self.pacing.limits.record_absence(address, sent_at or 0.0, steady_time()):
                 self._log.info("limit_ended", address=address)
@@ -301,7 +301,7 @@
         try:
             per_s = parse_limit(text)
         except ValueError as error:
-            reason = str(error)[:SHOWN_TEXT]
+            reason = str(error)[:MAX_LOGGED_CHARACTERS]
             self._log.info("limit_unreadable", address=address, reason=reason)
             return
         if self.pacing.limits.record(address, per_s, steady_time()):
@@ -310,7 +310,7 @@
 
 
 @contextmanager
-def _upstream_errors(*broken: type[Exception]) -> Iterator[None]:
+def _convert_errors(*broken: type[Exception]) -> Iterator[None]:
     """Turn the library's errors, and `broken` besides, into this layer's."""
     failures: tuple[type[Exception], ...] = (aiohttp.ClientError, OSError, TimeoutError, *broken)
     try:
--- a/reachlink/upstreams/_liveness.py
+++ b/reachlink/upstreams/_liveness.py
@@ -13,10 +13,10 @@
 
 # Looks at a replica after a connection to it has ended, and the time between two, in
 # seconds: its process may close the port some milliseconds after the connection.
-LOOKS = 3
-PAUSE_S = 0.1
+PROBE_ATTEMPTS = 3
+PROBE_INTERVAL_S = 0.1
 # How long one look may take, in seconds; longer is silence, as behind a cut.
-LOOK_S = 0.4
+PROBE_TIMEOUT_S = 0.4
 
 
 class Liveness(Enum):
@@ -36,7 +36,7 @@
         Asks; any answer shows that the replica is up.
     """
     try:
-        async with asyncio.timeout(LOOK_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             await ask()
         return Liveness.UP
     except TimeoutError:
@@ -54,11 +54,11 @@
 
 async def probe_repeatedly(ask: Callable[[], Awaitable[object]]) -> Liveness:
     """Look at a replica some times; return at once where it is down, else the last look."""
-    found = Liveness.SILENT
-    for number in range(LOOKS):
+    result = Liveness.SILENT
+    for number in range(PROBE_ATTEMPTS):
         if number:
-            await asyncio.sleep(PAUSE_S)
-        found = await probe(ask)
-        if found is Liveness.DOWN:
-            return found
-    return found
+            await asyncio.sleep(PROBE_INTERVAL_S)
+        result = await probe(ask)
+        if result is Liveness.DOWN:
+            return result
+    return result
--- a/reachlink/upstreams/_plain_service.py
+++ b/reachlink/upstreams/_plain_service.py
@@ -14,8 +14,8 @@
 from reachlink.upstreams._http import HttpClient, raise_refusal
 from reachlink.upstreams.exceptions import UpstreamBrokenError
 
-MAX_ANSWER_BYTES = 8 << 20
-_REFUSED = frozenset({429, 503})
+MAX_RESPONSE_BYTES = 8 << 20
+_REFUSED_STATUSES = frozenset({429, 503})
 
 
 @ADAPTERS.register("plain-service")
@@ -34,9 +34,9 @@
         headers = {**request.headers, REQUEST_HEADER: request.request_id}
         url = f"http://{replica.address}{request.path}"
         response = await self._client.dispatch(request.method, url, headers, request.body)
-        if response.status in _REFUSED:
+        if response.status in _REFUSED_STATUSES:
             await raise_refusal(response)
-        return await _read_answer(response)
+        return await _read_response(response)
 
     async def touch(self, replica: Replica) -> None:
         """Make sure that a replica is there."""
@@ -47,16 +47,16 @@
         return await read_load(self._client, replica)
 
 
-async def _read_answer(response: aiohttp.ClientResponse) -> CallResponse:
+async def _read_response(response: aiohttp.ClientResponse) -> CallResponse:
     try:
-        body = await response.content.read(MAX_ANSWER_BYTES + 1)
-        while not response.content.at_eof() and len(body) <= MAX_ANSWER_BYTES:
-            body += await response.content.read(MAX_ANSWER_BYTES + 1 - len(body))
+        body = await response.content.read(MAX_RESPONSE_BYTES + 1)
+        while not response.content.at_eof() and len(body) <= MAX_RESPONSE_BYTES:
+            body += await response.content.read(MAX_RESPONSE_BYTES + 1 - len(body))
     except (aiohttp.ClientError, OSError) as error:
         raise UpstreamBrokenError(str(error) or type(error).__name__) from error
     finally:
         response.release()
-    if len(body) > MAX_ANSWER_BYTES:
+    if len(body) > MAX_RESPONSE_BYTES:
         raise UpstreamBrokenError("the answer is too long")
     content_type = response.headers.get("Content-Type", "application/octet-stream")
     return CallResponse(response.status, content_type, body)
--- a/reachlink/upstreams/_retry_after.py
+++ b/reachlink/upstreams/_retry_after.py
@@ -6,10 +6,10 @@
 
 # Statuses whose `Retry-After` asks for a backoff: turned away for load (RFC 6585, section 4)
 # and for the time being (RFC 9110, section 15.6.4).
-TURNED_AWAY_STATUSES = frozenset({429, 503})
+BACKOFF_STATUSES = frozenset({429, 503})
 # Longest backoff that is kept to, in seconds: longer than any that a sound replica needs. A
 # number that is wrong by orders of magnitude takes its replica out for an hour.
-LONGEST_BACKOFF_S = 3600.0
+MAX_BACKOFF_S = 3600.0
 
 
 def requested_backoff_s(status: int, headers: Mapping[str, str], wall_s: float) -> float | None:
@@ -36,15 +36,15 @@
         If the field can be read neither as seconds nor as a date.
     """
     text = headers.get("Retry-After", "").strip()
-    if status not in TURNED_AWAY_STATUSES or not text:
+    if status not in BACKOFF_STATUSES or not text:
         return None
-    asked_s = _seconds(text)
-    if asked_s is None:
-        asked_s = _date(text) - _answered_at(headers, wall_s)
-    return min(asked_s, LONGEST_BACKOFF_S) if asked_s > 0.0 else None
+    requested_s = _parse_seconds(text)
+    if requested_s is None:
+        requested_s = _parse_date(text) - _response_time(headers, wall_s)
+    return min(requested_s, MAX_BACKOFF_S) if requested_s > 0.0 else None
 
 
-def _seconds(text: str) -> float | None:
+def _parse_seconds(text: str) -> float | None:
     """Return a finite number of seconds, fractions too; None for what is no number.
 
     Raises
@@ -61,16 +61,16 @@
     return seconds
 
 
-def _answered_at(headers: Mapping[str, str], wall_s: float) -> float:
+def _response_time(headers: Mapping[str, str], wall_s: float) -> float:
     """Return when an answer was given, by its own clock where it tells, in seconds since 1970.
 
     The difference of two times of one clock holds however wrong that clock is.
     """
     date = headers.get("Date", "")
-    return _date(date) if date else wall_s
+    return _parse_date(date) if date else wall_s
 
 
-def _date(text: str) -> float:
+def _parse_date(text: str) -> float:
     """Return a date of RFC 9110, section 5.6.7, in seconds since 1970-01-01 UTC."""
     try:
         return parsedate_to_datetime(text).timestamp()
--- a/reachlink/upstreams/exceptions.py
+++ b/reachlink/upstreams/exceptions.py
@@ -27,13 +27,13 @@
 
     Parameters
     ----------
-    left_s : float
+    remaining_s : float
         Time until it may, in seconds.
     """
 
-    def __init__(self, left_s: float) -> None:
-        super().__init__(f"the upstream may get nothing for another {left_s:.3f} s")
-        self.remaining_s = left_s
+    def __init__(self, remaining_s: float) -> None:
+        super().__init__(f"the upstream may get nothing for another {remaining_s:.3f} s")
+        self.remaining_s = remaining_s
 
 
 class UpstreamBackoffError(UpstreamHeldBackError):
--- a/reachlink/upstreams/tests/test_bodies.py
+++ b/reachlink/upstreams/tests/test_bodies.py
@@ -8,9 +8,9 @@
 from aiohttp.client_proto import ResponseHandler
 
 from reachlink.upstreams import HttpClient
-from reachlink.upstreams._bodies import PIECE_BYTES, BodyInPieces
+from reachlink.upstreams._bodies import WRITE_CHUNK_BYTES, FlowControlledBody
 
-BODY = bytes(range(256)) * (5 * PIECE_BYTES // 256) + b"end"
+BODY = bytes(range(256)) * (5 * WRITE_CHUNK_BYTES // 256) + b"end"
 
 
 class SlowWriter:
@@ -30,7 +30,7 @@
 def test_no_piece_is_handed_on_before_the_one_before_was_taken():
     async def work() -> None:
         writer: Any = SlowWriter()
-        writing = asyncio.create_task(BodyInPieces(BODY).write_with_length(writer, None))
+        writing = asyncio.create_task(FlowControlledBody(BODY).write_with_length(writer, None))
         for taken in range(1, 7):
             while len(writer.given) < taken:
                 await asyncio.sleep(0)
@@ -41,7 +41,7 @@
             writer.reads.release()
         await writing
         assert b"".join(writer.given) == BODY
-        assert max(map(len, writer.given)) == PIECE_BYTES
+        assert max(map(len, writer.given)) == WRITE_CHUNK_BYTES
 
     asyncio.run(work())
 
@@ -87,7 +87,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
         listener = socket.socket()
-        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PIECE_BYTES)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WRITE_CHUNK_BYTES)
         listener.bind(("127.0.0.1", 0))
         server = await asyncio.start_server(serve, sock=listener)
         port = listener.getsockname()[1]
@@ -97,7 +97,7 @@
             answer = asyncio.create_task(asked)
             async with asyncio.timeout(30.0):
                 connection = await writing(client)
-                assert 0 < connection.transport.get_write_buffer_size() <= 2 * PIECE_BYTES
+                assert 0 < connection.transport.get_write_buffer_size() <= 2 * WRITE_CHUNK_BYTES
                 reads.set()
                 assert (await answer).status == 200
             assert bytes(got) == body
--- a/reachlink/upstreams/tests/test_loads.py
+++ b/reachlink/upstreams/tests/test_loads.py
@@ -4,7 +4,7 @@
 from structlog.testing import capture_logs
 
 from reachlink.upstreams import LoadDecoder, LoadSample
-from reachlink.upstreams._loads import MAX_LOGGED
+from reachlink.upstreams._loads import MAX_LOGGED_REPLICAS
 
 
 @pytest.mark.parametrize(
@@ -64,6 +64,6 @@
 def test_memory_of_what_was_logged_is_bounded():
     decoder = LoadDecoder()
     with capture_logs():
-        for number in range(MAX_LOGGED + 50):
+        for number in range(MAX_LOGGED_REPLICAS + 50):
             decoder.decode("none", f"r{number}")
-    assert len(decoder._logged) == MAX_LOGGED
+    assert len(decoder._last_logged) == MAX_LOGGED_REPLICAS
--- a/reachlink/upstreams/tests/test_retry_after.py
+++ b/reachlink/upstreams/tests/test_retry_after.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from reachlink.upstreams._retry_after import LONGEST_BACKOFF_S, requested_backoff_s
+from reachlink.upstreams._retry_after import MAX_BACKOFF_S, requested_backoff_s
 
 NOW = 1_000_000_000.0
 DATE = "Sun, 09 Sep 2001 01:46:40 GMT"
@@ -24,7 +24,7 @@
 
 
 def test_an_absurd_time_is_bounded():
-    assert asked("1e300") == asked("86400") == LONGEST_BACKOFF_S
+    assert asked("1e300") == asked("86400") == MAX_BACKOFF_S
 
 
 def test_a_date_counts_from_the_answers_own_clock():
