--- a/reachlink/upstreams/__init__.py
+++ b/reachlink/upstreams/__init__.py
@@ -1,6 +1,6 @@
-"""Adapters to what runs behind reachlink: model engines and plain services."""
+"""Adapters to the back ends of reachlink: model engines and plain HTTP services."""
 
-from reachlink.upstreams import _chat_engine, _plain_service  # noqa: F401  (register themselves)
+from reachlink.upstreams import _chat_engine, _plain_service  # noqa: F401  (imported to register the adapters)
 from reachlink.upstreams._base import (
     ADAPTERS,
     CacheChange,
--- a/reachlink/upstreams/_base.py
+++ b/reachlink/upstreams/_base.py
@@ -1,4 +1,4 @@
-"""Interfaces and data that every adapter shares."""
+"""Interfaces and data classes shared by all adapters."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -11,18 +11,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Replica:
-    """One upstream instance.
+    """One replica of an upstream.
 
     Attributes
     ----------
     name : str
-        Name in the platform list, unique among all upstreams.
+        Name in the platform's list of replicas, unique among all upstreams.
     upstream : str
-        The upstream that it belongs to.
+        Upstream that the replica belongs to.
     availability_zone : str
-        Where it runs.
+        Availability zone that the replica runs in.
     address : str
-        ``host:port``, as reached from this process.
+        ``host:port`` at which this process reaches the replica.
     """
 
     name: str
@@ -33,11 +33,11 @@
 
 @dataclass(slots=True, frozen=True)
 class GenerationRequest:
-    """A request for a generation, ready to be dispatched.
+    """A request for a generation, ready for dispatch.
 
-    ``body`` is the caller's JSON body, with the fields that reachlink sets. The
-    ``fingerprint`` is the same for requests that are the same but for their names;
-    0 for none.
+    ``body`` is the caller's JSON body with the fields that reachlink sets.
+    ``fingerprint`` is equal for requests that differ only in their identifiers; 0 if
+    there is none.
     """
 
     request_id: str
@@ -49,11 +49,11 @@
 class TokenEvent(msgspec.Struct, frozen=True, gc=False):
     """One event of a generation.
 
-    A `msgspec.Struct`, since it is made once a token and costs a third of a
-    frozen data class.
+    A `msgspec.Struct`, because one is created per token and its creation costs a third
+    of that of a frozen data class.
 
-    Offsets are dense from 0. The final event carries the offset after the
-    last token. ``data`` is the JSON text to pass on.
+    Offsets count up from 0 without gaps. The final event has the offset after the last
+    token. ``data`` is the JSON text to pass on to the caller.
     """
 
     request_id: str
@@ -65,17 +65,17 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadSample:
-    """Load that a replica tells along with an answer.
+    """Load that a replica reports with an answer.
 
     Attributes
     ----------
     running, waiting : int
-        Requests that it works on, and that wait there.
+        Numbers of running and of queued requests at the replica.
     slots : int
-        Requests that it works on at once; 0 where it does not say.
+        Number of requests that the replica runs concurrently; 0 if not reported.
     pace : float, optional
-        How long work takes there at this moment, as a multiple of what it takes at a
-        usual replica; None where it does not say.
+        Current duration of work at the replica, as a multiple of the duration at the
+        nominal pace; None if not reported.
     """
 
     running: int
@@ -86,11 +86,12 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadReport:
-    """What an upstream instance said of its load; sizes in tokens.
+    """Load report of a replica; sizes in tokens.
 
-    ``born`` is when it started, in Unix milliseconds by its own clock; 0 where it does
-    not say. ``leaving`` is any sign that it leaves, ``says_leaving`` its own word, which
-    is for good in its life. ``load`` is what came along with the report.
+    ``born`` is the start time of the replica in Unix milliseconds by its own clock; 0 if
+    not reported. ``leaving`` is set by any sign that the replica is leaving.
+    ``says_leaving`` is set if the replica itself announces it, which it does not revoke
+    before it ends. ``load`` is the load sent with the report.
     """
 
     sequence: int = 0
@@ -102,7 +103,7 @@
     max_batch: int = 0
     step_ms: float = 0.0
     leaving: bool = False
-    # Time until it is taken away, in seconds; None where it is not known.
+    # Time in seconds until the replica is removed; None if unknown.
     leaves_in_s: float | None = None
     preemptions: int = 0
     recomputed_tokens: int = 0
@@ -116,7 +117,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CacheChange:
-    """A block that entered (``stored``) or left the prefix cache of an engine."""
+    """A block added to (``stored``) or removed from the prefix cache of an engine."""
 
     sequence: int
     stored: bool
@@ -125,7 +126,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GenerationInfo:
-    """What an engine knows of a generation."""
+    """State of a generation at an engine."""
 
     generation: str
     request_id: str
@@ -137,7 +138,7 @@
 
 @dataclass(slots=True, frozen=True)
 class OrderRequest:
-    """A fenced order to an engine."""
+    """An order to an engine, with a fencing token (``fence``)."""
 
     order_id: str
     fence: int
@@ -160,7 +161,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallRequest:
-    """A call of a plain service; ``fingerprint`` as in `GenerationRequest`."""
+    """A call to a plain service; ``fingerprint`` as in `GenerationRequest`."""
 
     request_id: str
     method: str
@@ -172,7 +173,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CallResponse:
-    """The whole answer of a plain service."""
+    """The complete answer of a plain service."""
 
     status: int
     content_type: str
@@ -180,7 +181,7 @@
 
 
 class TokenStream(ABC):
-    """A stream of events of one generation, read in batches as they arrive."""
+    """Stream of the events of one generation, read in batches as they arrive."""
 
     @property
     @abstractmethod
@@ -199,29 +200,29 @@
 
     @abstractmethod
     def close(self) -> None:
-        """Drop the connection; the generation goes on until it is cancelled."""
+        """Close the connection; the generation continues until it is cancelled."""
 
 
 class ReportingAdapter(ABC):
-    """Speaks with replicas that tell their load."""
+    """Interface to replicas that report their load."""
 
     @abstractmethod
     async def load(self, replica: Replica) -> LoadReport:
         """Return the latest load report."""
 
     async def touch(self, replica: Replica) -> None:
-        """Make sure that a replica is there, without giving it work.
+        """Check that a replica responds, without giving it work.
 
         Raises
         ------
         UpstreamError
-            There is no answer.
+            If there is no answer.
         """
         await self.load(replica)
 
 
 class EngineAdapter(ReportingAdapter):
-    """Speaks one wire protocol with model engines."""
+    """Implements one wire protocol of model engines."""
 
     @abstractmethod
     async def open(self, replica: Replica, request: GenerationRequest) -> TokenStream:
@@ -230,21 +231,21 @@
         Raises
         ------
         UpstreamUnreachableError
-            Nothing was dispatched.
+            If no connection could be made; nothing was dispatched.
         UpstreamRefusedError
-            The engine did not run the request.
+            If the engine refused the request and did not run it.
         UpstreamBrokenError
-            The request may have run.
+            If the connection failed after dispatch; the request may have run.
         """
 
     @abstractmethod
     async def resume(self, replica: Replica, generation: str, offset: int) -> TokenStream:
-        """Return the stream of a generation from an offset on.
+        """Return the stream of a generation, starting at an offset.
 
         Raises
         ------
         GenerationUnknownError
-            The engine does not have the generation.
+            If the engine does not know the generation.
         """
 
     @abstractmethod
@@ -253,34 +254,34 @@
 
     @abstractmethod
     async def describe(self, replica: Replica, generation: str) -> GenerationInfo:
-        """Return what the engine knows of a generation."""
+        """Return the state of a generation at the engine."""
 
     @abstractmethod
     async def cancel(self, replica: Replica, generation: str, if_detached: bool) -> None:
         """End a generation and free its memory.
 
-        With `if_detached` the engine leaves it alone while someone reads it.
+        With `if_detached`, a generation whose stream is being read is left unchanged.
         """
 
     @abstractmethod
     async def cache_changes(self, replica: Replica, since: int) -> list[CacheChange]:
-        """Return cache events after a sequence number; some may be missing."""
+        """Return changes of the prefix cache after a sequence number; some may be missing."""
 
     @abstractmethod
     async def order(self, replica: Replica, order: OrderRequest) -> OrderStatus:
-        """Give an order, or repeat it under the same identifier."""
+        """Send an order; a repetition has the same identifier."""
 
     @abstractmethod
     async def orders(self, replica: Replica) -> list[OrderStatus]:
-        """Return the orders that the engine knows."""
+        """Return the states of all orders known to the engine."""
 
 
 class ServiceAdapter(ReportingAdapter):
-    """Speaks one wire protocol with plain services."""
+    """Implements one wire protocol of plain services."""
 
     @abstractmethod
     async def call(self, replica: Replica, request: CallRequest) -> CallResponse:
-        """Dispatch a call at most once and return its whole answer."""
+        """Dispatch a call at most once and return the complete answer."""
 
 
 ADAPTERS: Registry[Any] = Registry("upstream adapter")
--- a/reachlink/upstreams/_bodies.py
+++ b/reachlink/upstreams/_bodies.py
@@ -1,30 +1,31 @@
-"""Bodies that are handed to a connection piece by piece, so that they are not held twice."""
+"""Request bodies written to a connection in chunks, to avoid buffering them twice."""
 
 from aiohttp.abc import AbstractStreamWriter
 from aiohttp.payload import BytesPayload
 
-# Bytes handed on at a time; a connection takes no more while that much is not sent.
+# Size of a chunk in bytes. A connection accepts no further chunk while this many bytes are
+# unsent.
 WRITE_CHUNK_BYTES = 64 << 10
 
 
 class FlowControlledBody(BytesPayload):
-    """A body whose next piece waits until the receiver takes the one before.
+    """A body written in chunks, each after the connection has drained the previous one.
 
-    A connection copies what it is given and cannot send at once: a long body that is
-    given whole to one that is slow to read is held twice.
+    A connection copies the bytes that it cannot send immediately. A long body written at
+    once to a slow receiver is therefore held in memory twice.
     """
 
     async def write_with_length(
         self, writer: AbstractStreamWriter, content_length: int | None
     ) -> None:
-        """Write the body, or its beginning.
+        """Write the body or its first bytes.
 
         Parameters
         ----------
         writer : AbstractStreamWriter
-            The connection.
+            Writer of the connection.
         content_length : int, optional
-            Bytes to write at the most.
+            Maximum number of bytes to write; None for the whole body.
         """
         view = memoryview(self._value)[:content_length]
         for start in range(0, len(view), WRITE_CHUNK_BYTES):
--- a/reachlink/upstreams/_chat_engine.py
+++ b/reachlink/upstreams/_chat_engine.py
@@ -31,7 +31,7 @@
 
 
 class _Chunk(msgspec.Struct):
-    """The fields of an event that delivery checks; the rest passes unread."""
+    """Fields of an event that delivery checks; other fields are not decoded."""
 
     id: str
     generation: str
@@ -61,7 +61,7 @@
     response : aiohttp.ClientResponse
         Response with status 200 and an unread body.
     generation : str
-        Identifier from the response's header.
+        Identifier of the generation, from the response's header.
     """
 
     def __init__(self, response: aiohttp.ClientResponse, generation: str) -> None:
@@ -76,7 +76,7 @@
         return self._generation
 
     async def read(self) -> list[TokenEvent]:
-        """Return the events of the next piece of the body that holds any."""
+        """Return the next events of the stream, or an empty list at its end."""
         try:
             while not self._ended:
                 piece = await self._response.content.readany()
@@ -92,7 +92,7 @@
         return []
 
     def close(self) -> None:
-        """Drop the connection."""
+        """Close the connection; the generation continues."""
         self._response.close()
 
     def _parse(self, piece: bytes) -> list[TokenEvent]:
@@ -119,12 +119,12 @@
 
 @ADAPTERS.register("chat-engine")
 class ChatEngineAdapter(EngineAdapter):
-    """Engines that resume and cancel streams over HTTP.
+    """Adapter to engines that resume and cancel generations over HTTP.
 
     Parameters
     ----------
     client : HttpClient
-        Shared client of the process.
+        HTTP client shared by the adapters of the process.
     """
 
     def __init__(self, client: HttpClient) -> None:
@@ -140,7 +140,7 @@
         return _open_stream(response)
 
     async def resume(self, replica: Replica, generation: str, offset: int) -> TokenStream:
-        """Return the stream of a generation from an offset on."""
+        """Return the stream of a generation, starting at an offset."""
         url = _url(replica, f"generations/{generation}/events?offset={offset}")
         response = await self._client.dispatch("GET", url, {}, b"")
         if response.status == _NOT_FOUND:
@@ -155,7 +155,7 @@
         return await self._info(_url(replica, f"generations?request_id={request_id}"))
 
     async def describe(self, replica: Replica, generation: str) -> GenerationInfo:
-        """Return what the engine knows of a generation."""
+        """Return the state of a generation at the engine."""
         return await self._info(_url(replica, f"generations/{generation}"))
 
     async def _info(self, url: str) -> GenerationInfo:
@@ -173,7 +173,7 @@
             await response.read()
 
     async def touch(self, replica: Replica) -> None:
-        """Make sure that an engine is there."""
+        """Check that an engine responds."""
         await touch(self._client, replica)
 
     async def load(self, replica: Replica) -> LoadReport:
@@ -181,7 +181,7 @@
         return await read_load(self._client, replica)
 
     async def cache_changes(self, replica: Replica, since: int) -> list[CacheChange]:
-        """Return cache events after a sequence number."""
+        """Return changes of the prefix cache after a sequence number."""
         url = _url(replica, f"cache_events?since={since}")
         async with self._client.control("GET", url, background=True) as response:
             response.raise_for_status()
@@ -189,30 +189,30 @@
         return [CacheChange(e.sequence, e.kind == "stored", e.block) for e in events]
 
     async def order(self, replica: Replica, order: OrderRequest) -> OrderStatus:
-        """Give an order, or repeat it under the same identifier."""
+        """Send an order; a repetition has the same identifier."""
         body = msgspec.json.encode(order)
         async with self._client.control("POST", _url(replica, "orders"), body) as response:
             return _decode_order(await response.read())
 
     async def orders(self, replica: Replica) -> list[OrderStatus]:
-        """Return the orders that the engine knows."""
+        """Return the states of all orders known to the engine."""
         async with self._client.control("GET", _url(replica, "orders")) as response:
             response.raise_for_status()
             return _decode_orders(await response.read())
 
 
 async def touch(client: HttpClient, replica: Replica) -> None:
-    """Ask for the load report; any answer will do.
+    """Request the load report; any answer shows that the replica is up.
 
-    A connection alone shows nothing: something between may take it for a replica
-    that has ended.
+    An open connection alone does not show that: a proxy in between may accept it although
+    the replica has ended.
     """
     async with client.control("GET", _url(replica, "load"), background=True) as response:
         await response.read()
 
 
 async def read_load(client: HttpClient, replica: Replica) -> LoadReport:
-    """Read a load report in the protocol's JSON form."""
+    """Return the latest load report of a replica, decoded from JSON."""
     async with client.control("GET", _url(replica, "load"), background=True) as response:
         response.raise_for_status()
         try:
--- a/reachlink/upstreams/_connections.py
+++ b/reachlink/upstreams/_connections.py
@@ -1,4 +1,4 @@
-"""Connections to replicas: reused only where no other request's bytes can be on them."""
+"""Connections to replicas, reused only if no bytes of another request can be on them."""
 
 import asyncio
 import functools
@@ -14,21 +14,21 @@
 from reachlink.pacing import BackoffTracker
 from reachlink.upstreams.exceptions import UpstreamBackoffError
 
-# A replica that announces no idle time is taken to close connections after
-# this many seconds.
+# Idle time in seconds after which a replica is assumed to close a connection if it announces
+# no timeout.
 DEFAULT_IDLE_TIMEOUT_S = 4.0
-# A connection is not used again this close to the end of its idle time, in
-# seconds: the replica's close may be on its way.
+# A connection is not reused in the last part of its idle timeout, in seconds: the replica may
+# have closed it already, with the notice still in transit.
 IDLE_MARGIN_S = 0.7
 
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d+)")
 
 
 class ReplicaConnection(ResponseHandler):
-    """One connection, with what `aiohttp` does not look after.
+    """Connection with checks that `aiohttp` does not make.
 
-    Bytes that arrive while no request waits belong to an earlier one: the
-    connection is dropped. A body that ends with its connection is complete
+    Bytes that arrive while the connection is idle belong to an earlier request, so the
+    connection is aborted. A body that is delimited by the end of the connection is complete
     only if the connection was closed, not if it was reset.
     """
 
@@ -40,26 +40,26 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether another request may be sent on it."""
+        """Whether another request may be sent on the connection."""
         idle_for_s = steady_time() - self.idle_since
         return self.is_connected() and idle_for_s < self.idle_timeout_s - IDLE_MARGIN_S
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes from the replica."""
+        """Process received bytes; abort the connection if it is idle."""
         if self.idle and data:
             self.abort()
             return
         super().data_received(data)
 
     def feed_data(self, data: Any, size: int = 0) -> None:
-        """Take the head of an answer, which may tell how long the connection rests."""
+        """Process the head of an answer, which may announce the idle timeout."""
         found = _KEEP_ALIVE_TIMEOUT.search(data[0].headers.get("Keep-Alive", ""))
         if found is not None:
             self.idle_timeout_s = float(found.group(1))
         super().feed_data(data, size)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Tell a body in progress that it was cut off."""
+        """Fail a body in progress if the connection was lost by an error."""
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError(f"connection reset: {exc!r}"))
@@ -67,16 +67,16 @@
 
 
 class ReplicaConnector(aiohttp.TCPConnector):
-    """Pool of `ReplicaConnection`, the most recently used first.
+    """Pool of `ReplicaConnection` that reuses the most recently used connection first.
 
-    Whatever is sent to a replica gets its connection here, so that this is where one in
-    backoff is left alone, also by what was decided before it asked for that and by what
-    has waited for a connection meanwhile.
+    Every request to a replica gets its connection here. Requests to replicas in backoff are
+    therefore rejected here, including those that were placed before the replica requested the
+    backoff and those that waited for a connection when it did.
 
     Parameters
     ----------
     backoffs : BackoffTracker
-        The replicas that have asked for a backoff.
+        Tracker of the replicas that have requested a backoff.
     **options : object
         Passed to `aiohttp.TCPConnector`.
     """
@@ -89,12 +89,12 @@
     async def connect(
         self, req: aiohttp.ClientRequest, traces: list[Any], timeout: aiohttp.ClientTimeout
     ) -> Connection:
-        """Return a connection to a replica that is not in backoff.
+        """Return a connection to the replica, unless it is in backoff.
 
         Raises
         ------
         UpstreamBackoffError
-            If it is; nothing is sent then.
+            If the replica is in backoff; nothing is sent.
         """
         self._check_backoff(req)
         connection = await super().connect(req, traces, timeout)
@@ -133,5 +133,5 @@
 
 
 def address_of(url: URL) -> str:
-    """Return host and port of a URL, as replicas' addresses are written."""
+    """Return the replica address of a URL, as ``host:port``."""
     return f"{url.host}:{url.port}"
--- a/reachlink/upstreams/_events.py
+++ b/reachlink/upstreams/_events.py
@@ -1,21 +1,21 @@
-"""Splitting a body of server-sent events into whole events; pure."""
+"""Splitting of a body of server-sent events into complete events; pure."""
 
 from dataclasses import dataclass
 
-# An event larger than this, in bytes, is no event of a generation.
+# Largest size of an event in bytes; events of generations are smaller.
 MAX_EVENT_BYTES = 256 << 10
 
 
 @dataclass(slots=True, frozen=True)
 class StreamEvent:
-    """One event as it stood in the body.
+    """One unmodified event of the body.
 
     Attributes
     ----------
     number : int
-        Its ``id``, or -1 where it has none.
+        ``id`` of the event, or -1 if it has no numeric one.
     data : bytes
-        The whole event with the blank line that ends it.
+        All bytes of the event, including the blank line that ends it.
     """
 
     number: int
@@ -23,7 +23,7 @@
 
 
 class EventSplitter:
-    """Cuts a body that arrives in pieces into events.
+    """Splits a body that arrives in chunks into events.
 
     Examples
     --------
@@ -39,16 +39,16 @@
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not whole yet."""
+        """Bytes of the last, incomplete event."""
         return self._incomplete
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are whole after `data`.
+        """Return the events completed by `data`.
 
         Raises
         ------
         ValueError
-            If an event is larger than `MAX_EVENT_BYTES`.
+            If an incomplete event is larger than `MAX_EVENT_BYTES`.
         """
         buffer = self._incomplete + data if self._incomplete else data
         events: list[StreamEvent] = []
@@ -64,7 +64,7 @@
 
 
 def _find_event_end(buffer: bytes, start: int) -> int:
-    """Return where the event at `start` ends, or 0 where it is not whole."""
+    """Return the end of the event at `start`, or 0 if the event is incomplete."""
     lf_end = buffer.find(b"\n\n", start)
     crlf_end = buffer.find(b"\r\n\r\n", start)
     if crlf_end >= 0 and (lf_end < 0 or crlf_end < lf_end):
--- a/reachlink/upstreams/_http.py
+++ b/reachlink/upstreams/_http.py
@@ -1,4 +1,4 @@
-"""The HTTP client side, shared by the adapters."""
+"""HTTP client that the adapters share."""
 
 import asyncio
 import time
@@ -25,63 +25,64 @@
     UpstreamUnreachableError,
 )
 
-# Headers that `aiohttp` would add by itself; what is relayed has its own.
+# Header fields that `aiohttp` adds by default; relayed requests bring their own.
 _NO_AUTO_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
 CONNECT_TIMEOUT_S = 2.0
 CONTROL_TIMEOUT_S = 2.0
-# How long a small request waits for its permit at a replica with a limit, in seconds.
+# Longest wait of a control request for its permit at a replica with a rate limit, in seconds.
 CONTROL_PERMIT_WAIT_S = 0.5
 MAX_ERROR_BYTES = 64 << 10
 MAX_LINE_BYTES = 1 << 20
-# What is read ahead of an answer where that is bounded, in bytes; the library takes twice that.
+# Read buffer of an answer in bytes if buffering is bounded. `aiohttp` buffers up to twice that.
 READ_AHEAD_BYTES = 32 << 10
-# Most of an unreadable field that a log line shows, in characters.
+# Maximum length of the reason in a log line about an unreadable field, in characters.
 MAX_LOGGED_CHARACTERS = 40
 
-# Field of an answer with the requests a second that a replica takes from all together.
+# Header field of an answer with the rate limit of the replica for all senders together, in
+# requests per second.
 LIMIT_HEADER = "X-Fleet-Rate-Limit"
 # HTTP statuses of success (RFC 9110, section 15.3).
 _SUCCESS_STATUSES = range(200, 300)
 
-# Statuses with which an upstream says that it did not run the request.
+# Statuses that mean that the upstream did not run the request.
 REFUSED_STATUSES = frozenset({400, 404, 409, 413, 422, 429, 503})
 
 
 class ErrorDetail(msgspec.Struct):
-    """The inner part of an error body."""
+    """Content of the ``error`` field of an error body."""
 
     code: str | int | None = None
     message: str = ""
 
 
 class ErrorBody(msgspec.Struct):
-    """An error in the shape that OpenAI-compatible servers use."""
+    """Error body in the format of OpenAI-compatible servers."""
 
     error: ErrorDetail = msgspec.field(default_factory=ErrorDetail)
 
 
 class HttpClient:
-    """One session for all upstreams of a process.
+    """HTTP client with one session for all upstreams of a process.
 
     Parameters
     ----------
     max_connections : int
-        Bound on open connections; 0 for none.
+        Limit on open connections; 0 for no limit.
     connect_timeout_s : float
-        Longest time to make a connection, in seconds.
+        Timeout for opening a connection, in seconds.
     bounded : bool
-        Whether what is buffered of a body or an answer is bounded closely, for processes
-        that count what they hold.
+        Whether small buffers are used for bodies and answers, for processes that account
+        for the bytes they hold.
 
     Attributes
     ----------
     pacing : PacingTracker
-        What the replicas ask of who sends to them, as all their answers here said.
+        Backoffs and rate limits that the replicas request in their answers.
     gate : LimitGate
-        Grants permits for replicas with a limit; a process that is not the only one to send
-        replaces it by one that asks the others.
+        Grants permits for replicas with a rate limit. A process that is not the only sender
+        replaces it by a gate that coordinates with the other senders.
     limit_header : str
-        Field of their answers in which they do.
+        Header field of an answer in which a replica advertises its rate limit.
     """
 
     def __init__(
@@ -93,7 +94,7 @@
         self.pacing = PacingTracker(Random())
         self.gate: LimitGate = LocalGate(steady_time)
         self.limit_header = LIMIT_HEADER
-        # Called when a replica names another limit than before, or none any more.
+        # Called when a rate limit of a replica is new, changes or ends.
         self.on_limit_change: Callable[[], None] = lambda: None
         self._max_connections = max_connections
         self._connect_timeout_s = connect_timeout_s
@@ -127,11 +128,11 @@
         Raises
         ------
         UpstreamHeldBackError
-            The upstream has asked for a backoff, or gets as much as it takes.
+            If the upstream has asked for a backoff or its rate limit is reached.
         UpstreamUnreachableError
-            No connection could be made.
+            If no connection could be made.
         UpstreamBrokenError
-            The connection failed after the request was sent.
+            If the connection failed after the request was sent.
         """
         await self.admit(address_of(URL(url)))
         sent_at = steady_time()
@@ -156,18 +157,19 @@
         body: bytes,
         admitted: bool = False,
     ) -> aiohttp.ClientResponse:
-        """Send a request as it came, at most once, and return the response with its body unread.
+        """Relay a request at most once and return the response with its body unread.
 
-        With `admitted` it has had its permit already, as `admit` returned.
+        The target and the header fields are sent unchanged. With `admitted`, the request
+        already has its permit from `admit`.
 
         Raises
         ------
         UpstreamHeldBackError
-            The upstream has asked for a backoff, or gets as much as it takes.
+            If the upstream has asked for a backoff or its rate limit is reached.
         UpstreamUnreachableError
-            No connection could be made.
+            If no connection could be made.
         UpstreamBrokenError
-            The connection failed after the request was sent.
+            If the connection failed after the request was sent.
         """
         if not admitted:
             await self.admit(address_of(URL(url, encoded=True)))
@@ -192,24 +194,24 @@
         return body or None
 
     async def admit(self, address: str, max_wait_s: float = 0.0, background: bool = False) -> None:
-        """Return when another request may be sent to a replica, as far as its limit goes.
+        """Wait until the replica's rate limit allows another request.
 
-        Whatever is sent passes here: first tries, repeats, continuations, reports and
-        orders. All of it reaches the replica, which names a limit on the sum.
+        Every request needs a permit: first attempts, retries, continuations, reports and
+        orders. The limit of a replica applies to all of them together.
 
         Parameters
         ----------
         address : str
-            The replica.
+            Address of the replica.
         max_wait_s : float
-            Longest wait for the request's permit, in seconds.
+            Longest wait for the permit, in seconds.
         background : bool
-            Whether it gives way to all others.
+            Whether the request gives way to all other requests to the replica.
 
         Raises
         ------
         UpstreamLimitedError
-            The permit would come later; none was taken.
+            If the permit would take longer than `max_wait_s`; none is reserved.
         """
         limits = self.pacing.limits
         limit = limits.get(address)
@@ -228,12 +230,12 @@
         raise UpstreamLimitedError(remaining_s)
 
     async def connect(self, address: str) -> None:
-        """Connect to an address and close the connection.
+        """Open a connection to an address and close it.
 
         Raises
         ------
         UpstreamUnreachableError
-            Nobody listens there, or nothing is heard.
+            If the connection is refused or times out.
         """
         host, _, port = address.rpartition(":")
         try:
@@ -247,9 +249,10 @@
     async def control(
         self, method: str, url: str, body: bytes | None = None, background: bool = False
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a small request whose repetition does no harm.
+        """Send a small, idempotent request.
 
-        With `background` it gives way to all others where the upstream has named a limit.
+        With `background`, it gives way to all other requests if the upstream has advertised a
+        rate limit.
         """
         await self.admit(
             address_of(URL(url)), 0.0 if background else CONTROL_PERMIT_WAIT_S, background
@@ -262,7 +265,7 @@
                     yield response
 
     def _record_backoff(self, response: aiohttp.ClientResponse) -> None:
-        """Take what an answer says of when its replica wants to be asked again."""
+        """Record the backoff that an answer requests, or that it requests none."""
         address = address_of(response.url)
         try:
             wait_s = requested_backoff_s(response.status, response.headers, time.time())
@@ -279,15 +282,15 @@
         )
 
     def _record_limit(self, response: aiohttp.ClientResponse, sent_at: float | None = None) -> None:
-        """Take what an answer says of how much its replica takes from all together.
+        """Record the rate limit that an answer advertises, or the end of the limit.
 
         Parameters
         ----------
         response : aiohttp.ClientResponse
-            The answer.
+            Answer of the replica.
         sent_at : float, optional
-            When the request was sent, in monotonic seconds, where an answer that names no
-            limit ends one; reports and refusals do not.
+            Monotonic time in seconds at which the request was sent. None for control requests:
+            their answers never end a limit. Refusals do not end one either.
         """
         address = address_of(response.url)
         text = response.headers.get(self.limit_header)
@@ -311,7 +314,7 @@
 
 @contextmanager
 def _convert_errors(*broken: type[Exception]) -> Iterator[None]:
-    """Turn the library's errors, and `broken` besides, into this layer's."""
+    """Convert errors of `aiohttp`, and those in `broken`, to upstream errors."""
     failures: tuple[type[Exception], ...] = (aiohttp.ClientError, OSError, TimeoutError, *broken)
     try:
         yield
@@ -322,11 +325,10 @@
 
 
 class SingleDispatch:
-    """Client middleware that lets a request go out once.
+    """Client middleware that sends a request at most once.
 
-    `aiohttp` sends requests of idempotent methods again by itself when a
-    kept-alive connection turns out dead. Whether that is safe is for the
-    retry policy to decide, never for the library.
+    `aiohttp` itself retries requests with idempotent methods if a kept-alive connection turns
+    out to be closed. Only the retry policy may decide whether a retry is safe.
     """
 
     def __init__(self) -> None:
@@ -335,7 +337,7 @@
     async def __call__(
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Pass the request on, or fail if it went out before."""
+        """Send the request, or fail if it was sent before."""
         if self._sent:
             raise UpstreamBrokenError("the connection broke after the request was sent")
         self._sent = True
@@ -343,7 +345,7 @@
 
 
 async def raise_refusal(response: aiohttp.ClientResponse) -> None:
-    """Turn an error response to a dispatched request into this layer's errors."""
+    """Raise the upstream error for an error response to a dispatched request."""
     try:
         raw = await response.content.read(MAX_ERROR_BYTES)
         detail = msgspec.json.decode(raw, type=ErrorBody).error
--- a/reachlink/upstreams/_liveness.py
+++ b/reachlink/upstreams/_liveness.py
@@ -1,4 +1,4 @@
-"""Whether a replica has ended, or only a connection to it."""
+"""Probes that show whether a replica has ended or only a connection to it."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -11,16 +11,17 @@
     UpstreamUnreachableError,
 )
 
-# Looks at a replica after a connection to it has ended, and the time between two, in
-# seconds: its process may close the port some milliseconds after the connection.
+# Number of probes after a connection to a replica has ended, and the time between two of them
+# in seconds. A process may close its port some milliseconds after the connection.
 PROBE_ATTEMPTS = 3
 PROBE_INTERVAL_S = 0.1
-# How long one look may take, in seconds; longer is silence, as behind a cut.
+# Timeout of a probe in seconds. A replica that does not answer in time counts as silent, as one
+# behind a network partition.
 PROBE_TIMEOUT_S = 0.4
 
 
 class Liveness(Enum):
-    """What a look at a replica has shown."""
+    """Result of a probe of a replica."""
 
     UP = "up"
     DOWN = "down"
@@ -28,12 +29,12 @@
 
 
 async def probe(ask: Callable[[], Awaitable[object]]) -> Liveness:
-    """Ask a replica something small and return what that shows.
+    """Send a small request to a replica and return the result.
 
     Parameters
     ----------
     ask : callable
-        Asks; any answer shows that the replica is up.
+        Sends the request; any answer shows that the replica is up.
     """
     try:
         async with asyncio.timeout(PROBE_TIMEOUT_S):
@@ -45,15 +46,15 @@
         silent = isinstance(error.__cause__, TimeoutError)
         return Liveness.SILENT if silent else Liveness.DOWN
     except UpstreamHeldBackError:
-        # It was not asked.
+        # No request was sent.
         return Liveness.SILENT
     except UpstreamError:
-        # It has answered, be it that it refuses.
+        # The replica answered, possibly with a refusal.
         return Liveness.UP
 
 
 async def probe_repeatedly(ask: Callable[[], Awaitable[object]]) -> Liveness:
-    """Look at a replica some times; return at once where it is down, else the last look."""
+    """Probe a replica several times; return early if it is down, else the last result."""
     result = Liveness.SILENT
     for number in range(PROBE_ATTEMPTS):
         if number:
--- a/reachlink/upstreams/_loads.py
+++ b/reachlink/upstreams/_loads.py
@@ -1,4 +1,4 @@
-"""The load that replicas tell along with their answers."""
+"""Decoding of the load that replicas report with their answers."""
 
 import math
 from collections import OrderedDict
@@ -8,50 +8,52 @@
 from reachlink.telemetry import get_logger
 from reachlink.upstreams._base import LoadSample
 
-# Figures that every load has: requests running, requests waiting, slots.
+# Number of counts that every load starts with: running requests, waiting requests, slots.
 COUNT_FIELDS = 3
-# Longest field that is read, in characters.
+# Longest field that is parsed, in characters.
 MAX_FIELD_CHARACTERS = 12
-# The usual pace, in the field's terms, and what is no pace at all, as multiples of it.
+# Nominal pace as sent in the field, in percent, and the bounds of a valid pace as multiples of
+# the nominal pace.
 NOMINAL_PACE_PERCENT = 100.0
 MIN_PACE = 0.01
 MAX_PACE = 100.0
-# Shortest time between two log lines of one replica, in seconds, and the replicas that
-# are remembered for that.
+# Shortest time between two log lines about the same replica, in seconds, and the number of
+# replicas for which the time of the last one is kept.
 LOG_INTERVAL_S = 30.0
 MAX_LOGGED_REPLICAS = 1000
-# Characters of an unreadable load that are logged.
+# Number of characters of an unreadable load that are logged.
 MAX_LOGGED_CHARACTERS = 60
 
 
 class LoadDecoder:
-    """Decodes loads, and keeps account of those that cannot be read.
+    """Decodes loads and counts those that are unreadable.
 
-    A load is fields with commas between: requests running, requests waiting, slots, the
-    pace in percent of the usual, and what may come to be told later.
-    What cannot be read fails no request, and takes nothing from the fields before it.
+    A load is a comma-separated list: running requests, waiting requests, slots and,
+    optionally, the pace in percent of the nominal pace. Further fields are ignored, so that
+    fields can be added later. An unreadable field fails no request and does not affect the
+    fields before it.
     """
 
     def __init__(self) -> None:
         self._unreadable_count = 0
-        # When each replica was logged last, in monotonic seconds; the oldest goes first.
+        # Monotonic time in seconds of the last log line about each replica, oldest first.
         self._last_logged: OrderedDict[str, float] = OrderedDict()
         self._log: Any = get_logger()
 
     @property
     def unreadable(self) -> int:
-        """Loads so far with a field that could not be read."""
+        """Number of loads so far with a field that could not be parsed."""
         return self._unreadable_count
 
     def decode(self, text: str | None, replica: str) -> LoadSample | None:
-        """Return the load that a field tells; None where it tells none.
+        """Return the load in a header field; None if it has none.
 
         Parameters
         ----------
         text : str, optional
-            Content of the field; None where the answer has none.
+            Value of the header field; None if the answer does not have it.
         replica : str
-            Who tells it.
+            Name of the replica that sent the answer, for the log.
         """
         if not text:
             return None
@@ -88,7 +90,7 @@
 
 
 def _parse_counts(fields: list[str]) -> list[int]:
-    """Return the fields up to the first that is no count."""
+    """Return the values of the fields before the first that is not a count."""
     found: list[int] = []
     for field in fields:
         if not (field.isascii() and field.isdigit() and len(field) <= MAX_FIELD_CHARACTERS):
@@ -98,7 +100,7 @@
 
 
 def _parse_pace(field: str) -> float | None:
-    """Return a pace as a multiple of the usual; None where it cannot be one."""
+    """Return a pace as a multiple of the nominal pace; None if the field is not valid."""
     if len(field) > MAX_FIELD_CHARACTERS:
         return None
     try:
--- a/reachlink/upstreams/_plain_service.py
+++ b/reachlink/upstreams/_plain_service.py
@@ -1,4 +1,4 @@
-"""Adapter to plain HTTP services, whose answers are passed on whole."""
+"""Adapter to plain HTTP services, whose answers are read completely before they are returned."""
 
 import aiohttp
 
@@ -20,17 +20,17 @@
 
 @ADAPTERS.register("plain-service")
 class PlainServiceAdapter(ServiceAdapter):
-    """Services that answer an HTTP request with a whole body.
+    """Adapter to services that answer each HTTP request with one complete body.
 
-    Statuses 429 and 503 mean that the service did not run the call; every
-    other status is its answer.
+    Statuses 429 and 503 mean that the service did not run the call; an answer with any
+    other status is returned as it is.
     """
 
     def __init__(self, client: HttpClient) -> None:
         self._client = client
 
     async def call(self, replica: Replica, request: CallRequest) -> CallResponse:
-        """Dispatch a call at most once and return its whole answer."""
+        """Dispatch a call at most once and return the complete answer."""
         headers = {**request.headers, REQUEST_HEADER: request.request_id}
         url = f"http://{replica.address}{request.path}"
         response = await self._client.dispatch(request.method, url, headers, request.body)
@@ -39,7 +39,7 @@
         return await _read_response(response)
 
     async def touch(self, replica: Replica) -> None:
-        """Make sure that a replica is there."""
+        """Check that a replica responds."""
         await touch(self._client, replica)
 
     async def load(self, replica: Replica) -> LoadReport:
--- a/reachlink/upstreams/_prompts.py
+++ b/reachlink/upstreams/_prompts.py
@@ -1,4 +1,4 @@
-"""Sizes and block hashes of prompts, computed once a request."""
+"""Sizes and block hashes of prompts, computed once per request."""
 
 import hashlib
 from dataclasses import dataclass
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PromptDigest:
-    """What placement needs to know of a prompt.
+    """Properties of a prompt that placement uses.
 
     Attributes
     ----------
     tokens : int
         Estimated size in tokens.
     blocks : tuple of int
-        Chained hash of each whole block from the start, at most `MAX_BLOCKS`.
+        Chained hashes of the complete blocks from the start, at most `MAX_BLOCKS`.
     """
 
     tokens: int
@@ -30,7 +30,7 @@
     Parameters
     ----------
     text : str
-        The prompt as the engine will see it.
+        Prompt as the engine receives it.
 
     Returns
     -------
--- a/reachlink/upstreams/_relay.py
+++ b/reachlink/upstreams/_relay.py
@@ -1,4 +1,4 @@
-"""Interface to upstreams whose requests and answers are relayed as they are."""
+"""Interface to upstreams whose requests and answers are relayed unchanged."""
 
 from abc import ABC, abstractmethod
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 from reachlink.upstreams._base import LoadReport, LoadSample, Replica
 
 Headers = list[tuple[str, str]]
-"""Header fields in their order; names may repeat."""
+"""Header fields in order of arrival; a name may occur more than once."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,18 +22,18 @@
 
 @dataclass(slots=True, frozen=True)
 class GenerationFacts:
-    """What a request tells of the generation that it asks for; sizes in tokens.
+    """Parameters of a requested generation; sizes in tokens.
 
     Attributes
     ----------
     model : str
-        Model that must answer.
+        Name of the requested model.
     prompt_tokens, max_output_tokens : int
-        Size of the prompt, and the most that may be generated.
+        Size of the prompt, and the limit on the generated output.
     parts : tuple of PromptPart
-        Parts of the prompt in their order.
+        Parts of the prompt in order.
     expected_output_tokens : int
-        The caller's guess, often far off; 0 for none.
+        The caller's estimate of the output, often inaccurate; 0 if there is none.
     """
 
     model: str
@@ -45,14 +45,14 @@
 
 @dataclass(slots=True, frozen=True)
 class MovedMemory:
-    """Memory of a generation that waits at a replica to be continued.
+    """KV memory of a generation, held for a resume of the generation.
 
     Attributes
     ----------
     source : str
-        ``host:port`` of the replica that it was moved from.
+        ``host:port`` of the replica that the memory is moved from.
     handle : str
-        The replica's name for it; serves once.
+        Identifier that the source assigns to the memory; valid for one use.
     """
 
     source: str
@@ -60,26 +60,27 @@
 
 
 class MoveFailure(Enum):
-    """Why memory was not moved; the value is its code in logs."""
+    """Reason why a transfer of memory failed; the value appears in log lines."""
 
     NO_ROOM = "no_room"
-    # The source carries out one order about a generation at a time.
+    # The source executes only one move of a generation at a time.
     MOVE_IN_PROGRESS = "under_way"
     NOT_RUNNING = "not_running"
 
 
 @dataclass(slots=True, frozen=True)
 class MoveResult:
-    """What came of moving a generation's memory.
+    """Result of an attempt to move a generation's memory.
 
     Attributes
     ----------
     memory : MovedMemory, optional
-        From where the generation can go on; None where it was not found.
+        Memory from which the generation can resume; None if there is none.
     arrived : bool
-        Whether the target has it; else only a source that stopped can go on.
+        Whether the target has received the memory. If it has not, the generation can
+        resume only at the source, and only if the source has stopped it.
     failure : MoveFailure
-        Why it has not arrived, where it has not.
+        Reason of the failure; only meaningful if `arrived` is False.
     """
 
     memory: MovedMemory | None = None
@@ -89,7 +90,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Continuation:
-    """Where a generation goes on: after which event, and from which memory."""
+    """Number of the last event before a generation resumes, and the memory it resumes from."""
 
     after_event: int
     memory: MovedMemory
@@ -97,28 +98,28 @@
 
 @dataclass(slots=True)
 class RelayRequest:
-    """A request to be sent to one replica.
+    """A request to be relayed to one replica.
 
     Attributes
     ----------
     request_id : str
-        The caller's name for it.
+        Identifier of the request.
     method, target : str
-        Method, and path with query, as they came.
+        HTTP method, and path with query, as received from the caller.
     headers : list of tuple of str
-        Fields to pass on.
+        Header fields to relay.
     body : bytes
-        Whole body.
+        Complete body.
     workspace : str
-        Workspace that it is for; empty for none.
+        Workspace of the request; empty if there is none.
     priority : int
-        0 is the most urgent.
+        Priority; 0 is the most urgent.
     generation : GenerationFacts, optional
-        For model engines.
+        Parameters of the generation; None for requests to plain services.
     fingerprint : int
-        The same for requests that are the same but for their names; 0 for none.
+        Equal for requests that differ only in their identifiers; 0 if there is none.
     admitted : bool
-        Whether it has had its permit at the replica, where that has named a limit.
+        Whether the request already has a permit, for replicas that advertise a rate limit.
     """
 
     request_id: str
@@ -135,28 +136,28 @@
 
 @dataclass(slots=True)
 class AnswerHead:
-    """The start of a replica's answer.
+    """Status and header fields of a replica's answer.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : list of tuple of str
-        Fields to pass on to the caller.
+        Header fields to pass on to the caller.
     genuine : bool
-        Whether it carries what every whole answer of a replica has.
+        Whether the header fields identify an answer that comes unchanged from a replica.
     not_run : bool
-        Whether the replica says that it did not run the request.
+        Whether the replica reports that it did not run the request.
     misdirected : bool
-        Whether another replica has the address by now: the one meant is gone.
+        Whether the address belongs to another replica by now; the intended one is gone.
     leaving : bool
-        Whether the replica says that it leaves.
+        Whether the replica reports that it is leaving.
     closing : bool
-        Whether it closes its connections, as those do that leave, and others now and then.
+        Whether the replica closes the connection. Leaving replicas do so, others occasionally.
     load : LoadSample, optional
-        Load of the replica.
+        Load reported with the answer.
     length : int
-        Bytes of the body as the replica says; 0 where it does not.
+        Size of the body in bytes as announced by the replica; 0 if not announced.
     """
 
     status: int
@@ -171,39 +172,39 @@
 
     @property
     def success(self) -> bool:
-        """Whether the status tells of success."""
+        """Whether the status is a success (2xx)."""
         return 200 <= self.status < 300
 
 
 class RelayAnswer(ABC):
-    """A replica's answer whose body is read as it arrives."""
+    """A replica's answer, with a body that is read as it arrives."""
 
     @property
     @abstractmethod
     def head(self) -> AnswerHead:
-        """Start of the answer."""
+        """Status and header fields of the answer."""
 
     @abstractmethod
     async def read(self) -> bytes:
-        """Return the next bytes of the body; empty at its end.
+        """Return the next bytes of the body, or no bytes at its end.
 
         Raises
         ------
         UpstreamBrokenError
-            If the body is cut off.
+            If the connection ends before the body does.
         """
 
     @abstractmethod
     def close(self) -> None:
-        """Drop the answer, with its connection if the body was not read to its end."""
+        """Discard the answer; closes the connection if the body is not fully read."""
 
 
 class RelayAdapter(ABC):
-    """Speaks one wire protocol with replicas that requests are relayed to."""
+    """Implements one wire protocol of replicas that requests are relayed to."""
 
     @property
     def unreadable_loads(self) -> int:
-        """Loads told so far with a figure that could not be read."""
+        """Number of received loads with a field that could not be parsed."""
         return 0
 
     @abstractmethod
@@ -215,41 +216,42 @@
         continuation: Continuation | None = None,
         backup: Replica | None = None,
     ) -> RelayAnswer:
-        """Dispatch a request at most once and return the start of its answer.
+        """Dispatch a request at most once and return the answer with its body unread.
 
         Parameters
         ----------
         replica : Replica
-            Where to; another replica that has its address now refuses.
+            Target replica. If its address belongs to another replica by now, that
+            replica refuses the request.
         request : RelayRequest
-            The request.
+            Request to send.
         left_s : float
-            Time that the caller still waits, in seconds.
+            Time in seconds until the caller's deadline.
         continuation : Continuation, optional
-            To go on with a generation that began elsewhere.
+            Event and memory to resume from, for a generation that began elsewhere.
         backup : Replica, optional
-            Replica that gets the generation's memory as it grows; from there it goes
-            on by the name of the request.
+            Replica that receives a copy of the generation's memory as it grows. The
+            generation can resume there under the identifier of the request.
 
         Raises
         ------
         UpstreamHeldBackError
-            The replica has asked for a backoff, or gets as much as it takes; nothing was
-            dispatched.
+            If the replica has asked for a backoff or its rate limit is reached; nothing
+            was dispatched.
         UpstreamUnreachableError
-            Nothing was dispatched.
+            If no connection could be made; nothing was dispatched.
         UpstreamBrokenError
-            The request may have run.
+            If the connection failed after dispatch; the request may have run.
         """
 
     @abstractmethod
     async def touch(self, replica: Replica) -> None:
-        """Make sure that a replica is there, without giving it work.
+        """Check that a replica responds, without giving it work.
 
         Raises
         ------
         UpstreamError
-            There is no answer.
+            If there is no answer.
         """
 
     @abstractmethod
@@ -262,18 +264,18 @@
     ) -> MoveResult:
         """Copy a running generation's memory to another replica.
 
-        A repeated call copies only what is new. With `last` the generation
-        stops first, and its stream is closed without its end.
+        A repeated call copies only the memory added since the previous one. With `last`,
+        the generation stops first, and its stream is closed before its final event.
 
         Raises
         ------
         UpstreamError
-            It is not known what came of it.
+            If the result of the move is unknown.
         """
 
     @abstractmethod
     async def release(self, memory: MovedMemory) -> None:
-        """Free memory that was moved and is not needed."""
+        """Free moved memory that is no longer needed."""
 
 
 RELAY_ADAPTERS: Registry[Any] = Registry("relay adapter")
--- a/reachlink/upstreams/exceptions.py
+++ b/reachlink/upstreams/exceptions.py
@@ -1,4 +1,4 @@
-"""Errors of the upstream adapters, told apart by whether the request may have run."""
+"""Errors of the upstream adapters, distinguished by whether the request may have run."""
 
 from reachlink.kernel import ReachlinkError
 
@@ -15,7 +15,7 @@
 
 
 class UpstreamError(ReachlinkError):
-    """Base class of the errors of this layer."""
+    """Base class of the errors of the upstream adapters."""
 
 
 class UpstreamUnreachableError(UpstreamError):
@@ -23,12 +23,12 @@
 
 
 class UpstreamHeldBackError(UpstreamError):
-    """The upstream may get nothing now by what it has asked for, so nothing was sent.
+    """The upstream has asked for no requests at this time, so nothing was sent.
 
     Parameters
     ----------
     remaining_s : float
-        Time until it may, in seconds.
+        Time in seconds until a request may be sent.
     """
 
     def __init__(self, remaining_s: float) -> None:
@@ -41,20 +41,20 @@
 
 
 class UpstreamLimitedError(UpstreamHeldBackError):
-    """The upstream gets as much from all together as it takes."""
+    """The rate limit that the upstream advertises for all senders together is reached."""
 
 
 class UpstreamRefusedError(UpstreamError):
-    """The upstream answered that it did not run the request.
+    """The upstream refused the request and did not run it.
 
     Parameters
     ----------
     status : int
         HTTP status of the refusal.
     code : str
-        The upstream's short code, such as ``leaving``.
+        Error code of the upstream, such as ``leaving``.
     message : str
-        The upstream's own words.
+        Error message of the upstream.
     """
 
     def __init__(self, status: int, code: str, message: str) -> None:
@@ -65,7 +65,7 @@
 
     @property
     def leaving(self) -> bool:
-        """Whether the refusal tells that the upstream is leaving."""
+        """Whether the upstream refused the request because it is leaving."""
         return self.code == "leaving"
 
     @property
@@ -75,8 +75,8 @@
 
 
 class UpstreamBrokenError(UpstreamError):
-    """The connection failed after dispatch: the request may have run."""
+    """The connection failed after dispatch; the request may have run."""
 
 
 class GenerationUnknownError(UpstreamError):
-    """The engine does not know the generation (any more)."""
+    """The engine does not know the generation, or no longer knows it."""
