--- a/reachlink/cli/_logs.py
+++ b/reachlink/cli/_logs.py
@@ -5,7 +5,7 @@
 
 from reachlink.cli._output import reporting, show_line
 from reachlink.cli.exceptions import CliError
-from reachlink.telemetry import LogRecord, LossGroup, account_losses, read_records
+from reachlink.telemetry import LogRecord, LossGroup, read_records, summarize_losses
 
 # Events that tell why a request is held.
 _ABOUT_CRASHES = frozenset(
@@ -24,7 +24,7 @@
     by : LossGroup
         Count by route, availability zone, the replica that it ran at last, or workspace.
     """
-    account = account_losses(_records(files))
+    account = summarize_losses(_records(files))
     for route, count in sorted(account.in_time.items()):
         show_line(route=route, in_time=count)
     counts = sorted(account.counts(by).items(), key=lambda item: (item[0][0], -item[1]))
--- a/reachlink/cli/tests/test_logs.py
+++ b/reachlink/cli/tests/test_logs.py
@@ -6,7 +6,7 @@
 from reachlink.pacing import HoldReason
 from reachlink.requests._obstacles import Obstacle
 from reachlink.scheduling import RefusalReason
-from reachlink.telemetry import LossCause, account_losses, read_records
+from reachlink.telemetry import LossCause, read_records, summarize_losses
 from reachlink.telemetry.tests.test_losses import delivered, ended, line
 
 
@@ -48,7 +48,7 @@
 
 @pytest.mark.parametrize("reason", [*RefusalReason, *HoldReason, *Obstacle])
 def test_each_refusal_has_a_cause_of_its_own(reason):
-    account = account_losses(read_records([ended("a", reason.value)]))
+    account = summarize_losses(read_records([ended("a", reason.value)]))
     assert [loss.cause for loss in account.losses] != [LossCause.OTHER_FAILURE]
 
 
--- a/reachlink/telemetry/__init__.py
+++ b/reachlink/telemetry/__init__.py
@@ -3,10 +3,10 @@
 from reachlink.telemetry._logs import configure_logs, get_logger
 from reachlink.telemetry._losses import (
     Loss,
-    LossAccount,
     LossCause,
     LossGroup,
-    account_losses,
+    LossSummary,
+    summarize_losses,
 )
 from reachlink.telemetry._metrics import Metrics
 from reachlink.telemetry._records import LogRecord, read_records
@@ -14,11 +14,11 @@
 __all__ = [
     "LogRecord",
     "Loss",
-    "LossAccount",
+    "LossSummary",
     "LossCause",
     "LossGroup",
     "Metrics",
-    "account_losses",
+    "summarize_losses",
     "configure_logs",
     "get_logger",
     "read_records",
--- a/reachlink/telemetry/_losses.py
+++ b/reachlink/telemetry/_losses.py
@@ -12,17 +12,17 @@
     """Why a request was not answered in time."""
 
     NO_ROOM = "no replica had room"
-    LINE_FULL = "too many waited already"
+    QUEUE_FULL = "too many waited already"
     OVER_SHARE = "its workspace had more than its share"
-    HELD_BACK = "replicas that ask for less traffic held it back"
-    OUT_OF_REACH = "no zone was in service or in reach"
-    LEFT_WITHOUT_COPY = "its replica left and no other one had its memory"
-    BROKEN_WITHOUT_COPY = "its replica broke off and no other one had its memory"
+    LIMITED_BY_REPLICAS = "replicas that ask for less traffic held it back"
+    NO_ZONE_AVAILABLE = "no zone was in service or in reach"
+    REPLICA_LEFT_WITHOUT_COPY = "its replica left and no other one had its memory"
+    STREAM_BROKEN_WITHOUT_COPY = "its replica broke off and no other one had its memory"
     CALLER_LEFT = "its caller left"
     TIMEOUT = "its time was over"
     OTHER_FAILURE = "it failed in another way"
     LATE_FIRST_EVENT = "its first event came late"
-    LATE_AT_JOINT = "it paused too long when it went on at another replica"
+    LATE_AT_RESUME = "it paused too long when it went on at another replica"
     LATE_WITHIN_REPLICA = "it paused too long within one replica"
 
 
@@ -65,13 +65,13 @@
     replica: str = ""
     workspace: str = ""
 
-    def group(self, group: LossGroup) -> str:
+    def group_key(self, group: LossGroup) -> str:
         """Return the group that it counts in, such as its route."""
         return str(getattr(self, group.value))
 
 
 @dataclass(slots=True)
-class LossAccount:
+class LossSummary:
     """Losses, and how many streams came whole and in time, by route."""
 
     losses: list[Loss] = field(default_factory=list)
@@ -81,7 +81,7 @@
         """Return how many requests each cause took, by route or another group."""
         found: dict[tuple[str, LossCause], int] = {}
         for loss in self.losses:
-            key = loss.group(by), loss.cause
+            key = loss.group_key(by), loss.cause
             found[key] = found.get(key, 0) + 1
         return found
 
@@ -89,14 +89,14 @@
 _BY_OUTCOME = {
     "no_replica": LossCause.NO_ROOM,
     "no_room": LossCause.NO_ROOM,
-    "line_full": LossCause.LINE_FULL,
+    "line_full": LossCause.QUEUE_FULL,
     "over_share": LossCause.OVER_SHARE,
-    "over_limit": LossCause.HELD_BACK,
-    "in_backoff": LossCause.HELD_BACK,
-    "not_run": LossCause.HELD_BACK,
-    "zones_out_of_service": LossCause.OUT_OF_REACH,
-    "home_regions_out_of_reach": LossCause.OUT_OF_REACH,
-    "zone_cut_off": LossCause.OUT_OF_REACH,
+    "over_limit": LossCause.LIMITED_BY_REPLICAS,
+    "in_backoff": LossCause.LIMITED_BY_REPLICAS,
+    "not_run": LossCause.LIMITED_BY_REPLICAS,
+    "zones_out_of_service": LossCause.NO_ZONE_AVAILABLE,
+    "home_regions_out_of_reach": LossCause.NO_ZONE_AVAILABLE,
+    "zone_cut_off": LossCause.NO_ZONE_AVAILABLE,
     "stream_timeout": LossCause.TIMEOUT,
     "cancelled": LossCause.CALLER_LEFT,
     "timeout": LossCause.TIMEOUT,
@@ -146,7 +146,7 @@
             self.workspaces[request_id] = record.fields["workspace"]
 
 
-def account_losses(records: Iterable[LogRecord]) -> LossAccount:
+def summarize_losses(records: Iterable[LogRecord]) -> LossSummary:
     """Return what the logs of all entry instances tell of lost and late requests.
 
     Parameters
@@ -159,7 +159,7 @@
     lives = _Lives()
     for record in records:
         lives.note(record)
-    account = LossAccount()
+    account = LossSummary()
     for record in records:
         if record.event == "request_ended":
             _add(account, record, _cause_of_end(record, lives), lives)
@@ -168,7 +168,7 @@
     return account
 
 
-def _add(account: LossAccount, record: LogRecord, cause: LossCause | None, lives: _Lives) -> None:
+def _add(account: LossSummary, record: LogRecord, cause: LossCause | None, lives: _Lives) -> None:
     route, request_id = record.fields.get("route", ""), record.request_id
     if cause is None:
         account.in_time[route] = account.in_time.get(route, 0) + 1
@@ -189,7 +189,7 @@
     outcome = record.fields.get("outcome", "")
     if outcome == "no_copy_left":
         left = lives.broken.get(record.request_id) in lives.leaving
-        return LossCause.LEFT_WITHOUT_COPY if left else LossCause.BROKEN_WITHOUT_COPY
+        return LossCause.REPLICA_LEFT_WITHOUT_COPY if left else LossCause.STREAM_BROKEN_WITHOUT_COPY
     return _BY_OUTCOME.get(outcome, LossCause.OTHER_FAILURE)
 
 
@@ -201,4 +201,4 @@
         return None
     joints = lives.joints.get(record.request_id, set())
     at_joint = int(record.number("longest_pause_at")) in joints
-    return LossCause.LATE_AT_JOINT if at_joint else LossCause.LATE_WITHIN_REPLICA
+    return LossCause.LATE_AT_RESUME if at_joint else LossCause.LATE_WITHIN_REPLICA
--- a/reachlink/telemetry/tests/test_losses.py
+++ b/reachlink/telemetry/tests/test_losses.py
@@ -1,6 +1,6 @@
 """The account of losses, from lines as the entry instances write them."""
 
-from reachlink.telemetry import LossCause, LossGroup, account_losses, read_records
+from reachlink.telemetry import LossCause, LossGroup, read_records, summarize_losses
 
 
 def line(event: str, second: int, **fields: object) -> str:
@@ -19,7 +19,7 @@
 
 
 def causes(*lines: str) -> dict[str, LossCause]:
-    account = account_losses(read_records(lines))
+    account = summarize_losses(read_records(lines))
     return {loss.request_id: loss.cause for loss in account.losses}
 
 
@@ -46,26 +46,26 @@
         delivered("good"),
     )
     assert found == {
-        "left": LossCause.LEFT_WITHOUT_COPY,
-        "crashed": LossCause.BROKEN_WITHOUT_COPY,
+        "left": LossCause.REPLICA_LEFT_WITHOUT_COPY,
+        "crashed": LossCause.STREAM_BROKEN_WITHOUT_COPY,
         "full": LossCause.NO_ROOM,
         "gone": LossCause.CALLER_LEFT,
         "slow": LossCause.TIMEOUT,
         "in_line": LossCause.NO_ROOM,
-        "line": LossCause.LINE_FULL,
+        "line": LossCause.QUEUE_FULL,
         "share": LossCause.OVER_SHARE,
-        "held": LossCause.HELD_BACK,
-        "zone": LossCause.OUT_OF_REACH,
+        "held": LossCause.LIMITED_BY_REPLICAS,
+        "zone": LossCause.NO_ZONE_AVAILABLE,
         "odd": LossCause.OTHER_FAILURE,
         "first": LossCause.LATE_FIRST_EVENT,
-        "joint": LossCause.LATE_AT_JOINT,
+        "joint": LossCause.LATE_AT_RESUME,
         "pause": LossCause.LATE_WITHIN_REPLICA,
     }
 
 
 def test_losses_are_counted_by_route():
     lines = [ended("a", "timeout"), ended("b", "timeout"), ended("c", "timeout", "plain")]
-    account = account_losses(read_records([*lines, delivered("d")]))
+    account = summarize_losses(read_records([*lines, delivered("d")]))
     assert account.counts() == {("chat", LossCause.TIMEOUT): 2, ("plain", LossCause.TIMEOUT): 1}
     assert account.in_time == {"chat": 1}
 
@@ -78,7 +78,7 @@
         line("request_ended", 9, request_id="a", outcome="timeout", availability_zone="z1"),
         delivered("b", replica="r2", longest_pause_ms=260, availability_zone="z2", workspace="w2"),
     ]
-    account = account_losses(read_records(reversed(lines)))
+    account = summarize_losses(read_records(reversed(lines)))
     timeout, pause = LossCause.TIMEOUT, LossCause.LATE_WITHIN_REPLICA
     assert account.counts(LossGroup.ZONE) == {("z1", timeout): 1, ("z2", pause): 1}
     assert account.counts(LossGroup.REPLICA) == {("r2", timeout): 1, ("r2", pause): 1}
