--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -40,15 +40,16 @@
 # The same before the first snapshot from a coordinator, in seconds: an instance that starts is
 # not ready without the list of replicas.
 FIRST_WAIT_S = 0.01
-# Time added to it for the timeout of the reply, in seconds.
+# Time added to the hold time to get the timeout of the call, in seconds.
 WAIT_MARGIN_S = 0.3
 # Shortest time between two one-way updates, and between two updates that are answered with a
-# snapshot, in seconds. A coordinator that has not read the replica list yet is soon asked again.
+# snapshot, in seconds. The latter is short, so that a coordinator that has not read the replica
+# list yet is soon asked again.
 MIN_SEND_INTERVAL_S = 0.03
 MIN_POLL_INTERVAL_S = 0.1
 # Time between two snapshots of all replicas, in seconds. Those in between contain only the
-# replicas where this instance has allocations, in a third of the bytes. The load of the others
-# only serves to avoid queries that would find no room.
+# replicas where this instance has allocations, in a third of the bytes. The load of the other
+# replicas only serves to avoid queries that would find no room.
 FULL_SNAPSHOT_INTERVAL_S = 0.9
 # Age in seconds above which a snapshot is no longer valid.
 MAX_SNAPSHOT_AGE_S = 2.5
@@ -76,11 +77,11 @@
     own_reports : callable
         Returns the replica reports that this instance has read itself.
     quarantine : QuarantineExchange
-        Exchange of crashes between the instances.
+        Exchange of the crashes that requests caused, between the instances.
     limits : LimitExchange
         Exchange of the rate limits that replicas advertise.
     paces : PaceExchange
-        Exchange of the replicas' pace.
+        Exchange of the estimated paces of replicas.
     count : callable
         Called with the outcome of each query: ``"placed"``, ``"no_room"`` or ``"silent"``.
     clock : callable
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -61,7 +61,7 @@
     placing : Placer
         Chooses the replica for a request.
     book : ReplicaTracker
-        Notifies this instance of requests that have ended here.
+        Notifies this instance of changes of its own requests at the replicas.
     shared : PeerLoad
         Load of the other instances, to which grants are added.
     directory : ReplicaDirectory
@@ -124,12 +124,12 @@
         return {name: queue.requests.oldest_wait_s(now) for name, queue in self._queues.items()}
 
     def wake(self) -> None:
-        """Scan for room soon, as a request has ended or a replica was added."""
+        """Scan for room soon, as the load of the replicas may have changed."""
         if self._scan_task is not None:
             self._changed.set()
 
     async def answer(self, query: PlacementQuery) -> PlacementReply:
-        """Return the placement of a request, held until there is room or its hold time is over.
+        """Return the placement of a request once there is room, or when the hold time is over.
 
         Parameters
         ----------
@@ -226,7 +226,7 @@
     async def _hold(
         self, queue: ServiceQueue, query: PlacementQuery, waiting: QueuedRequest, hold_s: float
     ) -> PlacementReply:
-        """Return the reply once there is one, or after the hold time that the request waits."""
+        """Return the reply once there is one, or the expected wait after the hold time."""
         # An earlier query about the request has timed out at its sender: end it first.
         queue.answer_without_place(query.request_id, Wait(0.0))
         future: asyncio.Future[PlacementReply] = asyncio.get_running_loop().create_future()
@@ -296,7 +296,8 @@
                 queue.answer(waiting.request_id, answer)
             else:
                 self._outcomes.record_left(queue, waiting, "lease")
-                # This process was paused: callers that are still there send another query.
+                # If a query is held, this process was paused for longer than the lease. A caller
+                # that is still there sends another query.
                 queue.answer_without_place(waiting.request_id, Wait(0.0))
 
 
--- a/reachlink/pacing/_sharing.py
+++ b/reachlink/pacing/_sharing.py
@@ -5,9 +5,9 @@
 most one and a half times the limit, whatever the connectivity:
 
 - a side with more than half of the instances grants the whole limit;
-- any other side grants its share by number of instances; all such sides together grant less
-  than half;
-- an instance that reaches no owner grants itself its own share by number.
+- any other side grants a share in proportion to its number of instances; beside a side that
+  grants the whole limit, all such sides together grant less than half;
+- an instance that reaches no owner grants itself the limit divided by the number of instances.
 """
 
 import hashlib
--- a/reachlink/placement/_health.py
+++ b/reachlink/placement/_health.py
@@ -21,7 +21,7 @@
 
 
 class HealthState(Enum):
-    """How far a replica is trusted with requests."""
+    """Whether a replica gets its usual load, no requests, or a growing share of its load."""
 
     GOOD = "good"
     EJECTED = "ejected"
--- a/reachlink/requests/_request_dispatcher.py
+++ b/reachlink/requests/_request_dispatcher.py
@@ -104,7 +104,7 @@
         return self._parts.random.random()
 
     async def place_or_wait(self, request: CallerRequest, tried: set[str]) -> Replica | None:
-        """Return the replica for a request, after a short wait if necessary."""
+        """Return the replica for a request, after a short wait if necessary; None without one."""
         full = await self._full_replicas(request, tried)
         if full is None:
             return None
@@ -119,9 +119,10 @@
     async def _full_replicas(
         self, request: CallerRequest, tried: set[str]
     ) -> frozenset[str] | None:
-        """Return the replicas that cannot take the body of a request, within the byte limit.
+        """Return the replicas whose limit of bytes in flight a request would exceed.
 
-        None if all replicas stay full until the request may wait no longer.
+        Waits until a live replica that was not tried has room; returns None if the request may
+        wait no longer.
         """
         if not self._parts.scheduling.held_bytes:
             return frozenset()
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -1,4 +1,4 @@
-"""Requests whose answer is a stream of events, which may outlive its replica.
+"""Requests whose answer is a stream of events, which continues if its replica is lost.
 
 While a generation runs, its memory is copied to a second replica. If the primary is lost, the
 generation resumes at the second replica after the last event that the caller got.
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -106,7 +106,7 @@
 
 
 def test_a_generation_that_outlasts_its_guess_is_copied_when_its_replica_leaves():
-    """A generation past its estimated length was taken for nearly done and not copied."""
+    """If a generation past its estimated length counts as nearly complete, it is not copied."""
     setup = virtual_time_world(
         "a a a", "m", script=answering(200, stream(1, 60), 0.4, stream(61, 62))
     )
@@ -197,7 +197,7 @@
 
 
 def test_a_copy_discarded_during_its_transfer_is_freed(monkeypatch):
-    """Cancelling a transfer left its memory allocated at the target."""
+    """A cancelled transfer would leave its memory allocated at the target."""
     monkeypatch.setattr("reachlink.requests._generation_replicas.COPY_START_PROBABILITY", 1.0)
     setup = virtual_time_world("a a", "m", script=answering(200, stream(1, 3), 0.15))
     setup.adapter.move_result, setup.adapter.move_takes_s = MOVED, 0.3
--- a/reachlink/scheduling/_choice.py
+++ b/reachlink/scheduling/_choice.py
@@ -59,7 +59,7 @@
     random : random.Random
         Source of random numbers for drawing and for breaking ties.
     rules : PlacementRules
-        Rules by which the memory of engines is given.
+        Rules by which the memory of engines is allocated.
     need : Need, optional
         Resources and deadlines of the request. If given, and if the pace of replicas is
         known, the choice is made by the expected times.
@@ -130,7 +130,7 @@
 
 
 def _cost(option: ReplicaOption, need_tokens: int, other_zone_margin: float) -> float:
-    """Return the cost of placing a request at a replica, including the delay of others."""
+    """Return the cost of placing a request at a replica, including its delay to others."""
     if not option.capacity_tokens:
         zone_cost = 0.0 if option.same_zone else OTHER_ZONE_REQUESTS
         return (option.running + zone_cost) / max(1, option.slots)
--- a/reachlink/scheduling/_pace_estimate.py
+++ b/reachlink/scheduling/_pace_estimate.py
@@ -1,4 +1,4 @@
-"""Estimate of the pace of one replica in one lifetime; free of I/O and clocks."""
+"""Estimate of the pace of one replica until it restarts; free of I/O and clocks."""
 
 from dataclasses import dataclass
 
@@ -12,10 +12,10 @@
 # Multiple of the steady pace from which an observation belongs to a slow phase.
 SLOW_FROM = 1.5
 # Quantiles of the windows that are taken as the steady pace: below the median, since slow
-# phases only make work longer. Measured durations also grow by the work that runs beside.
+# phases only make work longer. Measured durations also grow with other work at the replica.
 REPORTED_QUANTILE = 0.4
 MEASURED_QUANTILE = 0.25
-# Number of windows below which all of them may be of one slow phase.
+# Number of windows below which all of them may lie in one slow phase.
 MIN_WINDOWS = 4
 # Prior estimate of slow phases: a long answer runs through several of them, so their effect
 # must be estimated before the first one is observed.
@@ -34,10 +34,10 @@
 # Age difference from which another instance's estimate replaces older own windows, in seconds.
 PEER_NEWER_S = 5.0
 # Maximum difference of two observation times that may be the same observation, received by
-# two ways, in seconds.
+# two paths, in seconds.
 SAME_OBSERVATION_S = 0.05
-# Weight of the estimate for the whole service: a replica's own slow phases weigh as much with
-# this number of slow windows, and their share of the time with this number of windows.
+# Weights of the combined estimate for the service against a replica's own windows: of the factor
+# of slow phases, in slow windows, and of their share of the time, in windows.
 PRIOR_SLOW_WINDOWS = 2.0
 PRIOR_WINDOWS = 16.0
 # Number of counted windows at which the counts are halved, so that old windows decay.
@@ -88,7 +88,7 @@
 
 
 class PaceEstimate:
-    """Estimate of the pace of one replica in one lifetime.
+    """Estimate of the pace of one replica until it restarts.
 
     Parameters
     ----------
@@ -167,7 +167,7 @@
 
     @property
     def has_enough_reports(self) -> bool:
-        """Whether there are too many reported windows for all to be of one slow phase."""
+        """Whether there are too many reported windows for all to lie in one slow phase."""
         return self._reported.count >= MIN_WINDOWS
 
     @property
@@ -244,7 +244,7 @@
         if self._measured.newest_at > at + WINDOW_S:
             at = self._measured.newest_at
             ratio = self._measured.newest / self._measured.steady
-            # Prompts that are processed beside a stream also delay its events.
+            # Smaller ratios may come from prompts that are processed beside a stream.
             momentary = ratio if ratio >= SLOW_FROM else 1.0
         peer = self._peer
         if peer is not None and peer.observed_at > at + SAME_OBSERVATION_S:
@@ -279,7 +279,7 @@
         )
 
     def _steady_by_measurements(self) -> float:
-        """Return the steady pace by measurements; few windows count in part."""
+        """Return the steady pace by measurements; closer to 1 with few windows."""
         if not self._measured.count:
             return 1.0
         weight = min(1.0, self._measured.count / (MIN_WINDOWS - 1))
--- a/reachlink/scheduling/tests/test_queue_load.py
+++ b/reachlink/scheduling/tests/test_queue_load.py
@@ -149,7 +149,7 @@
 
 @pytest.mark.parametrize("load_factor", [1.5, 2.5])
 def test_one_queue_over_all_zones_serves_them_equally_whatever_their_load(load_factor):
-    """With a queue per zone, each zone gets the same capacity, and the fullest serves least."""
+    """With a queue per zone, each zone gets the same capacity, and the busiest serves least."""
     load = (3.0, 1.0, 1.0, 1.0)
 
     def fullest_and_others(over_zones: bool) -> tuple[float, float]:
