--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -149,13 +149,13 @@
     async def answer_local(self, query: PlacementQuery) -> PlacementReply:
         """Return the placement of a request of this instance; see `answer`."""
         try:
-            answer = await self.answer(structs.replace(query, instance=self._name))
+            reply = await self.answer(structs.replace(query, instance=self._name))
         except asyncio.CancelledError:
             self.leave(query.service, query.request_id)
             raise
         # From here on the allocation of the request counts instead of the grant.
         self._shared.forget(self._name)
-        return answer
+        return reply
 
     def leave(self, service: str, request_id: str) -> None:
         """Remove a request from the queue, as its caller is gone."""
@@ -175,7 +175,7 @@
     ) -> PlacementReply:
         now = self._clock()
         hold_s = min(query.hold_s or 0.0, MAX_HOLD_S)
-        known = queue.requests.find(query.request_id) is not None
+        was_queued = queue.requests.find(query.request_id) is not None
         lease_s = hold_s + LEASE_MARGIN_S
         waiting = queue.requests.join(query.request_id, query.instance, need, now, lease_s)
         self._shed_excess(queue, now)
@@ -186,15 +186,15 @@
             replica = self._grants.record_grant(queue, waiting, query, start.replica, now)
             if replica is not None:
                 return PlacementReply(ready=True, replica=replica)
-        if isinstance(start, Refuse) and (not known or self._is_hopeless(queue, waiting, now)):
-            answer = self._outcomes.refuse(queue, waiting, start.reason, now)
+        if isinstance(start, Refuse) and (not was_queued or self._is_hopeless(queue, waiting, now)):
+            reply = self._outcomes.refuse(queue, waiting, start.reason, now)
             queue.requests.leave(waiting.request_id, now)
-            return answer
-        if not known:
+            return reply
+        if not was_queued:
             self._outcomes.record_joined(queue, waiting, now)
         self._start_scanning()
         if hold_s <= 0.0:
-            return self._wait_answer(queue, waiting, now)
+            return self._wait_reply(queue, waiting, now)
         return await self._hold(queue, query, waiting, hold_s)
 
     def _forecast(
@@ -237,11 +237,9 @@
         finally:
             if queue.held_queries.get(query.request_id) is held:
                 del queue.held_queries[query.request_id]
-        return (
-            future.result() if future.done() else self._wait_answer(queue, waiting, self._clock())
-        )
+        return future.result() if future.done() else self._wait_reply(queue, waiting, self._clock())
 
-    def _wait_answer(
+    def _wait_reply(
         self, queue: ServiceQueue, waiting: QueuedRequest, now: float
     ) -> PlacementReply:
         state = queue.requests.state_ahead_of(waiting, now)
@@ -250,8 +248,8 @@
 
     def _shed_excess(self, queue: ServiceQueue, now: float) -> None:
         while (shed := queue.requests.shed(now)) is not None:
-            answer = self._outcomes.refuse(queue, shed, RefusalReason.LINE_FULL, now)
-            queue.answer(shed.request_id, answer)
+            reply = self._outcomes.refuse(queue, shed, RefusalReason.LINE_FULL, now)
+            queue.answer(shed.request_id, reply)
 
     def _start_scanning(self) -> None:
         """Scan for room as long as requests are queued."""
@@ -292,8 +290,8 @@
     def _drop_expired(self, queue: ServiceQueue, now: float) -> None:
         for waiting in queue.requests.expire(now):
             if waiting.request_id in queue.held_queries and now >= waiting.latest_start_at:
-                answer = self._outcomes.refuse(queue, waiting, RefusalReason.NO_ROOM, now)
-                queue.answer(waiting.request_id, answer)
+                reply = self._outcomes.refuse(queue, waiting, RefusalReason.NO_ROOM, now)
+                queue.answer(waiting.request_id, reply)
             else:
                 self._outcomes.record_left(queue, waiting, "lease")
                 # If a query is held, this process was paused for longer than the lease. A caller
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -63,16 +63,16 @@
         """Exchange the loads of all instances that reach each other."""
         reachable = [i for i in self.instances if i.record.name not in self.network.silent]
         for sender in reachable:
-            note = LoadUpdate(sender.record.name, sender.book.usages(self.network.now))
+            update = LoadUpdate(sender.record.name, sender.book.usages(self.network.now))
             for receiver in reachable:
                 if receiver is not sender:
-                    receiver.shared.update(note, self.network.now)
+                    receiver.shared.update(update, self.network.now)
 
     def make_room(self) -> None:
         """End all requests that fill the replicas at the start."""
         for replica in ("r1", "r2"):
-            for flight in list(self.filler.book.state(replica).allocations):
-                self.filler.book.remove(replica, flight)
+            for allocation in list(self.filler.book.state(replica).allocations):
+                self.filler.book.remove(replica, allocation)
         self.exchange_loads()
 
     def ask(self, instance: Instance, name: str, tokens: int = 8_000) -> asyncio.Task[None]:
@@ -209,7 +209,7 @@
     assert served_once(run_scenario(scenario), "id-1", "id-2")
 
 
-def test_paused_owner_does_not_refuse_its_own_requests_for_the_pause():
+def test_paused_owner_does_not_refuse_its_own_requests_because_of_the_pause():
     async def scenario(sim: Simulation) -> None:
         sim.ask(sim.owner, "own")
         await enqueue_all(sim, "id-1")
--- a/reachlink/limits/tests/test_limits.py
+++ b/reachlink/limits/tests/test_limits.py
@@ -32,33 +32,33 @@
 )
 @settings(derandomize=True, deadline=None)
 def test_concurrent_limit_holds_over_instances(limit, arrivals, instances):
-    books = [QuotaTracker() for _ in range(instances)]
+    trackers = [QuotaTracker() for _ in range(instances)]
     limits = QuotaLimits(concurrent=limit)
     running, now = 0, 0.0
     for target in arrivals:
         now += 0.01
         number = target % instances
         everyone: dict[str, float] = {}
-        for i, book in enumerate(books):
+        for i, tracker in enumerate(trackers):
             if i != number:
-                for key, value in book.demands(now).items():
+                for key, value in tracker.demands(now).items():
                     everyone[key] = everyone.get(key, 0.0) + value
-        if books[number].admit("k", limits, everyone, instances, now) is None:
+        if trackers[number].admit("k", limits, everyone, instances, now) is None:
             running += 1
     # The stated error: each instance's share is rounded, and is at least one request.
     assert running <= limit + instances
 
 
 def test_rate_limit_holds_and_returns_the_retry_time():
-    book = QuotaTracker()
+    tracker = QuotaTracker()
     limits = QuotaLimits(requests_per_s=10.0)
     admitted, now = 0, 0.0
     for _ in range(2000):
         now += 0.005
-        refusal = book.admit("k", limits, {}, 1, now)
+        refusal = tracker.admit("k", limits, {}, 1, now)
         if refusal is None:
             admitted += 1
-            book.release("k", 0)
+            tracker.release("k", 0)
         else:
             assert 0 < refusal.retry_after_s <= 0.1 + 1e-9
     assert 95 <= admitted <= 115
--- a/reachlink/placement/tests/test_placement.py
+++ b/reachlink/placement/tests/test_placement.py
@@ -60,9 +60,9 @@
 def test_unexplained_load_counts_only_while_the_report_is_fresh():
     reported = {"reported_used_tokens": 16000, "running": 1}
     fresh = Candidate("a", capacity_tokens=16384, max_batch=64, report_age_s=0.0, **reported)
-    frozen = Candidate("a", capacity_tokens=16384, max_batch=64, report_age_s=60.0, **reported)
+    stale = Candidate("a", capacity_tokens=16384, max_batch=64, report_age_s=60.0, **reported)
     assert choose([fresh]).verdict is Verdict.WAIT
-    assert choose([frozen]).verdict is Verdict.PLACE
+    assert choose([stale]).verdict is Verdict.PLACE
 
 
 def test_own_zone_is_preferred_unless_another_costs_less():
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -96,7 +96,7 @@
         fingerprint = self._request.relay.fingerprint
         try:
             await self._replicas.begin(replica)
-            async with self._dispatch.guard.watched(fingerprint, self._has_given_no_event):
+            async with self._dispatch.guard.watched(fingerprint, self._has_sent_no_event):
                 return await self._run()
         except HeldRequestError as error:
             if self._head_sent:
@@ -106,7 +106,7 @@
             copy_task.cancel()
             self._replicas.release()
 
-    def _has_given_no_event(self) -> bool:
+    def _has_sent_no_event(self) -> bool:
         """Return whether the caller has got no event yet."""
         return self._merger.last_event_number < 0
 
@@ -215,9 +215,9 @@
 
     async def _write(self, ready: bytes) -> None:
         """Write events to the caller; discard the interval measurement if that takes long."""
-        given_at = self._dispatch.now()
+        started_at = self._dispatch.now()
         await self._sink.write(ready)
-        if self._dispatch.now() - given_at >= SLOW_WRITE_S:
+        if self._dispatch.now() - started_at >= SLOW_WRITE_S:
             self._reset_interval()
 
     def _reset_interval(self) -> None:
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -61,12 +61,12 @@
 
 
 def test_repeated_events_of_a_continuation_are_dropped():
-    async def again(sent):
+    async def repeating(sent):
         if sent.continuation is None:
             return await answering(200, stream(1, 3), BROKEN)(sent)
         return await answering(200, stream(2, 5))(sent)
 
-    setup = virtual_time_world("a a", "m", script=again)
+    setup = virtual_time_world("a a", "m", script=repeating)
     setup.engine = BACKUP_ENGINE
     assert run_virtually(setup.run(RequestKind.STREAM)).body == stream(1, 5)
 
@@ -237,8 +237,8 @@
 
     async def scenario():
         now = loop_time()
-        shares = [ReplicaUsage(name, 0, 0, pending_transfers=1) for name in setup.zones]
-        setup.shared.update(LoadUpdate("e2", shares), now)
+        usages = [ReplicaUsage(name, 0, 0, pending_transfers=1) for name in setup.zones]
+        setup.shared.update(LoadUpdate("e2", usages), now)
         await setup.run(RequestKind.STREAM)
 
     run_virtually(scenario())
--- a/reachlink/routing/tests/test_patch.py
+++ b/reachlink/routing/tests/test_patch.py
@@ -59,9 +59,9 @@
 
 def test_patch_for_another_number_is_rejected():
     patch = patch_between(table_of_routes(3, 1), table_of_routes(4, 2))
-    for held in (None, table_of_routes(3, 7)):
+    for current in (None, table_of_routes(3, 7)):
         with pytest.raises(PatchMismatchError):
-            apply_patches(held, [patch])
+            apply_patches(current, [patch])
 
 
 def test_size_of_a_patch_depends_on_the_change_only():
