--- a/reachlink/kernel/__init__.py
+++ b/reachlink/kernel/__init__.py
@@ -1,4 +1,4 @@
-"""Registries, clocks, process lifecycle and the root of all errors."""
+"""Registries, clocks, process lifecycle and the base class of all errors."""
 
 from reachlink.kernel._clock import Clock, SystemClock, process_started_at, steady_time
 from reachlink.kernel._config import load_config
--- a/reachlink/kernel/_clock.py
+++ b/reachlink/kernel/_clock.py
@@ -1,46 +1,45 @@
-"""Clocks, passed in wherever time matters so that tests control it."""
+"""Clocks; they are passed as arguments so that tests can control the time."""
 
 import time
 from typing import Protocol
 
-# The system's clock that never jumps and goes on while the machine is suspended. The one
-# that stands still meanwhile would make a lease outlive its time, and what is known look
-# fresh, by as long as the machine slept: a leader that had slept past its election would
-# have answered with settings of before it.
+# Monotonic clock that continues while the machine is suspended. With a clock that stops,
+# leases would expire late and data would seem fresh by the length of the suspension: a
+# leader suspended during the election of its successor would still serve old settings.
 _STEADY_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 def steady_time() -> float:
-    """Return seconds from an arbitrary origin that never go back, suspensions included."""
+    """Return monotonic time in seconds, including time spent suspended."""
     return time.clock_gettime(_STEADY_CLOCK)
 
 
-# Read when this package is imported, which is the first thing that a daemon does.
+# A daemon imports this package first, so this is close to the start of the process.
 _STARTED_AT = steady_time()
 
 
 class Clock(Protocol):
-    """Source of time for the shells around the pure decision modules."""
+    """Clock for the code that calls the decision modules, which do no I/O."""
 
     def monotonic(self) -> float:
-        """Return seconds from an arbitrary origin that never go back."""
+        """Return monotonic time in seconds, from an arbitrary origin."""
 
     def wall(self) -> float:
-        """Return seconds since 1970-01-01 UTC, for records people read."""
+        """Return seconds since 1970-01-01 UTC, for records read by people."""
 
 
 class SystemClock:
-    """The operating system's clocks."""
+    """Clocks of the operating system."""
 
     def monotonic(self) -> float:
-        """Return the steady clock in seconds."""
+        """Return `steady_time`."""
         return steady_time()
 
     def wall(self) -> float:
-        """Return the wall clock in seconds since 1970-01-01 UTC."""
+        """Return wall-clock time in seconds since 1970-01-01 UTC."""
         return time.time()
 
 
 def process_started_at() -> float:
-    """Return when this process started, in seconds of the steady clock, or soon after."""
+    """Return the `steady_time` at, or soon after, the start of this process."""
     return _STARTED_AT
--- a/reachlink/kernel/_config.py
+++ b/reachlink/kernel/_config.py
@@ -1,4 +1,4 @@
-"""Reading of a process configuration file into a validated model."""
+"""Reading and validation of process configuration files."""
 
 from pathlib import Path
 from typing import TypeVar
@@ -11,7 +11,7 @@
 
 
 def load_config(path: Path, model: type[T]) -> T:
-    """Read a JSON file and validate it.
+    """Read a JSON file and validate it against a model.
 
     Parameters
     ----------
@@ -28,8 +28,8 @@
     Raises
     ------
     ConfigError
-        If the file cannot be read or a field is wrong; the message names the
-        file and the field's path.
+        If the file cannot be read or a field is invalid; the message names the
+        file and the path of the field.
     """
     try:
         return msgspec.json.decode(path.read_bytes(), type=model)
--- a/reachlink/kernel/_counts.py
+++ b/reachlink/kernel/_counts.py
@@ -1,11 +1,11 @@
-"""Counts that somebody outside tells."""
+"""Parsing of counts in messages from outside the system."""
 
-# Longest count that is read, in digits: no size or time is longer.
+# Maximum number of digits of a count; no valid size or time is longer.
 LONGEST_COUNT = 12
 
 
 def told_count(text: str) -> int | None:
-    """Return a count as it was told; None where it is none, or out of all measure.
+    """Parse a non-negative decimal integer; return None if it is invalid or too long.
 
     Examples
     --------
--- a/reachlink/kernel/_lifecycle.py
+++ b/reachlink/kernel/_lifecycle.py
@@ -12,23 +12,23 @@
 
 
 class Daemon(Protocol):
-    """What `run_daemon` drives."""
+    """Interface of a process that `run_daemon` runs."""
 
     async def start(self) -> None:
-        """Open sockets and start background work."""
+        """Open sockets and start background tasks."""
 
     async def drain(self) -> None:
-        """Stop taking new work and wait until running work has finished."""
+        """Stop accepting new work and wait until running work has finished."""
 
     async def stop(self) -> None:
-        """Close everything at once."""
+        """Close all resources without waiting for running work."""
 
 
 def run_daemon(make: Callable[[], Daemon]) -> int:
-    """Run one daemon until a signal ends it.
+    """Run a daemon until it is stopped by a signal.
 
     The first SIGTERM or SIGINT starts a planned stop: `drain`, then `stop`.
-    A second one skips the rest of `drain`.
+    A second one cancels `drain`.
 
     Parameters
     ----------
@@ -59,10 +59,10 @@
 
 
 def _settle_garbage() -> None:
-    """Keep the collector from looking again and again at what lives for ever.
+    """Exclude long-lived objects from garbage collection and collect less often.
 
-    Streams make few cycles, so that most collections find nothing: rarer
-    ones lowered the cost of a token, see ``docs/design/delivery.md``.
+    Streams create few reference cycles, so most collections find nothing. Rarer
+    collections reduce the cost of a token, see ``docs/design/delivery.md``.
     """
     gc.collect()
     gc.freeze()
@@ -70,7 +70,7 @@
 
 
 async def _first_done(work: Awaitable[None], interrupt: Awaitable[int]) -> bool:
-    """Return whether `interrupt` came before `work` had finished."""
+    """Wait for either awaitable; return whether `interrupt` finished before `work`."""
     working = asyncio.ensure_future(work)
     waiting = asyncio.ensure_future(interrupt)
     done, pending = await asyncio.wait({working, waiting}, return_when=asyncio.FIRST_COMPLETED)
--- a/reachlink/kernel/_registry.py
+++ b/reachlink/kernel/_registry.py
@@ -1,4 +1,4 @@
-"""Named plug-ins that register themselves when their module is imported."""
+"""Registries of named plug-ins, which are registered when their module is imported."""
 
 import difflib
 from collections.abc import Callable, Iterator
@@ -10,12 +10,12 @@
 
 
 class Registry(Generic[T]):
-    """Map from a name to a plug-in of one kind.
+    """Mapping from names to plug-ins of one kind.
 
     Parameters
     ----------
     kind : str
-        What the plug-ins are, for error messages.
+        Kind of the plug-ins, used in error messages.
 
     Examples
     --------
@@ -57,7 +57,7 @@
         Raises
         ------
         UnknownPluginError
-            If there is none; the message suggests the nearest name.
+            If there is none; the message suggests the most similar name.
         """
         if name in self._plugins:
             return self._plugins[name]
--- a/reachlink/kernel/_slices.py
+++ b/reachlink/kernel/_slices.py
@@ -1,4 +1,4 @@
-"""Long work on the loop that serves requests, a little at a time."""
+"""Time slicing of long computations on the event loop that serves requests."""
 
 import asyncio
 from collections.abc import Generator
@@ -8,18 +8,19 @@
 
 T = TypeVar("T")
 
-# How long work goes on before others have their turn, in seconds: a fraction of the time
+# Time in seconds after which a computation yields to other tasks: a fraction of the interval
 # between two events of a stream.
 SLICE_S = 0.002
 
 
 async def in_slices(work: Generator[None, None, T]) -> T:
-    """Do work that may pause at each yield, and return its result.
+    """Run a generator in time slices and return its result.
 
     Parameters
     ----------
     work : generator
-        Its steps bound how long the loop is held beyond a slice.
+        Computation that may be suspended at each yield. The time between two
+        yields limits how long it blocks the event loop beyond a slice.
     """
     ends = steady_time() + SLICE_S
     while True:
--- a/reachlink/kernel/_suspension.py
+++ b/reachlink/kernel/_suspension.py
@@ -1,4 +1,4 @@
-"""Notices that the machine was suspended: timers of the loop stood still meanwhile."""
+"""Detection of machine suspensions, during which the timers of the event loop stop."""
 
 import asyncio
 import time
@@ -6,9 +6,10 @@
 
 from reachlink.kernel._clock import steady_time
 
-# Time between two looks, in seconds of the loop.
+# Interval between two checks, in seconds of the clock of the event loop.
 LOOK_S = 0.1
-# A shorter suspension is within what timers are off by anyway, in seconds.
+# Shortest suspension that is reported, in seconds. Shorter ones are within the inaccuracy
+# of timers.
 LEAST_S = 0.1
 
 
@@ -17,16 +18,16 @@
     clock: Callable[[], float] = steady_time,
     timers: Callable[[], float] = time.monotonic,
 ) -> None:
-    """Call back after each suspension of the machine, until cancelled.
+    """Call `on_resumed` after each suspension of the machine, until cancelled.
 
     Parameters
     ----------
     on_resumed : callable
-        Is told how long the machine was suspended, in seconds.
+        Called with the duration of the suspension in seconds.
     clock : callable
-        A clock that goes on meanwhile, in seconds.
+        Clock in seconds that continues during a suspension.
     timers : callable
-        The clock that timers go by, which stands still, in seconds.
+        Clock in seconds of the event loop timers, which stops during a suspension.
     """
     ahead = clock() - timers()
     while True:
--- a/reachlink/kernel/_web.py
+++ b/reachlink/kernel/_web.py
@@ -1,4 +1,4 @@
-"""Small pieces of HTTP that every server of the system shares."""
+"""HTTP functions shared by the servers of reachlink."""
 
 from typing import Any
 
@@ -12,11 +12,11 @@
     Parameters
     ----------
     body : object
-        Anything that `msgspec` encodes.
+        Body of the response; any object that `msgspec` can encode.
     status : int
         HTTP status.
     headers : mapping, optional
-        More headers.
+        Additional headers.
 
     Returns
     -------
@@ -32,6 +32,6 @@
 
 
 def bearer_key(request: web.Request) -> str:
-    """Return the bearer key of a request, or an empty string."""
+    """Return the bearer key in the Authorization header, or an empty string."""
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
--- a/reachlink/kernel/exceptions.py
+++ b/reachlink/kernel/exceptions.py
@@ -1,4 +1,4 @@
-"""Root of the error classes; each layer derives its own from here."""
+"""Base class of all errors, and the errors of the kernel layer."""
 
 __all__ = ["ConfigError", "ReachlinkError", "UnknownPluginError"]
 
--- a/reachlink/kernel/tests/test_clock.py
+++ b/reachlink/kernel/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Time goes on while a machine is suspended; the clock that timers go by does not."""
+"""The steady clock continues while the machine is suspended; the timer clock stops."""
 
 import asyncio
 import time
@@ -7,12 +7,12 @@
 from reachlink.kernel import SystemClock, steady_time, watch_suspensions
 
 ROOT = Path(__file__).parents[2]
-# Reads both clocks, to tell when the machine was suspended.
+# These modules define the steady clock, or compare both clocks to detect suspensions.
 EXEMPT = {"kernel/_clock.py", "kernel/_suspension.py"}
 
 
 class Machine:
-    """Clocks of a machine that can be suspended."""
+    """Simulated clocks of a machine that can be suspended."""
 
     def __init__(self) -> None:
         self.awake = 50.0
@@ -37,7 +37,7 @@
 
 
 def test_no_lease_deadline_or_age_goes_by_the_clock_that_stands_still():
-    """Each place that needs time takes the steady clock, or one that is passed in."""
+    """No other module uses `time.monotonic`, which stops during a suspension."""
     assert _users_of_the_other_clock() == []
 
 
--- a/reachlink/kernel/tests/test_layers.py
+++ b/reachlink/kernel/tests/test_layers.py
@@ -1,4 +1,4 @@
-"""Imports go down only, and decision modules do no I/O."""
+"""Modules import only from lower layers, and decision modules do no I/O."""
 
 import ast
 from pathlib import Path
@@ -89,7 +89,7 @@
                 continue
             if parts[1] != own and LEVEL_OF[parts[1]] >= LEVEL_OF[own]:
                 wrong.append(f"{path.relative_to(ROOT)} imports {name}")
-    # The two on one level that may see each other: the directory lists replicas.
+    # The only import between packages of one level: the directory lists replicas of upstreams.
     allowed = "membership/_directory.py imports reachlink.upstreams"
     assert [w for w in wrong if w != allowed] == []
 
--- a/reachlink/messaging/__init__.py
+++ b/reachlink/messaging/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between reachlink's own processes, over ZeroMQ."""
+"""Messages between the processes of reachlink, over ZeroMQ."""
 
 from reachlink.messaging._bus import Bus, Handler
 from reachlink.messaging._codec import decode, encode
--- a/reachlink/messaging/_bus.py
+++ b/reachlink/messaging/_bus.py
@@ -1,13 +1,13 @@
 """One-way messages and calls between processes.
 
 Every process binds one ROUTER socket and opens one DEALER socket for each
-address that it talks to. Sockets are read in bulk when their descriptor
-becomes readable: waking the loop once for each message costs several times
-the message itself.
+address that it sends to. All available messages are read when the descriptor
+of a socket becomes readable, because waking the event loop for each message
+costs several times as much as processing it.
 
-Both ends prove that they know the cluster's secret: the key pair of the
-CURVE mechanism is derived from it, and traffic is encrypted. Without a secret
-neither happens: that is for networks which keep everyone else out.
+Traffic is encrypted, and both ends authenticate, with a CURVE key pair that is
+derived from the secret of the cluster. Without a secret there is neither
+encryption nor authentication; this is only suitable for isolated networks.
 """
 
 import asyncio
@@ -30,13 +30,13 @@
 )
 
 Handler = Callable[[str, bytes], Awaitable[bytes | None]]
-"""Takes the sender's name and a body; returns the answer to a call."""
+"""Receives the name of the sender and a body; returns the body of the answer to a call."""
 
 HIGH_WATER = 1000
 HEARTBEAT_MS = 1000
 HEARTBEAT_TIMEOUT_MS = 3000
-# A connection attempt into a cut network would else wait for TCP's own
-# retransmission, seconds after the cut has healed.
+# Without this timeout, a connection attempt during a network partition waits for a TCP
+# retransmission, seconds after the partition has ended.
 CONNECT_TIMEOUT_MS = 400
 HANDSHAKE_TIMEOUT_MS = 1000
 RECONNECT_MS = 100
@@ -46,7 +46,7 @@
 
 
 class Kind(IntEnum):
-    """What a frame is."""
+    """Kind of a message."""
 
     SEND = 0
     CALL = 1
@@ -73,17 +73,17 @@
 
 
 class Bus:
-    """Endpoint of one process.
+    """Messaging endpoint of one process.
 
     Parameters
     ----------
     name : str
-        Name that receivers see as the sender.
+        Name of this process, sent with each message.
     secret : bytes
-        Secret of the cluster; empty for neither proof nor encryption.
+        Secret of the cluster; empty to disable authentication and encryption.
     routes : mapping of str to str, optional
-        Addresses to connect to in place of others, as behind a translating
-        gateway.
+        Replacement addresses to connect to, by address, for instance behind an
+        address-translating gateway.
     """
 
     def __init__(self, name: str, secret: bytes, routes: Mapping[str, str] | None = None) -> None:
@@ -101,7 +101,7 @@
         self.traffic = Traffic()
 
     def handle(self, channel: str, handler: Handler) -> None:
-        """Give every message on `channel` to `handler`."""
+        """Set the handler of all messages on `channel`."""
         self._handlers[channel] = handler
 
     def bind(self, address: str) -> None:
@@ -121,7 +121,7 @@
         self._router = self._watch(socket)
 
     def send(self, address: str, channel: str, body: bytes) -> bool:
-        """Send a one-way message; return whether it could be handed over."""
+        """Send a one-way message; return whether ZeroMQ accepted it for sending."""
         return self._put(self._peer(address), Kind.SEND, channel, 0, body)
 
     async def call(self, address: str, channel: str, body: bytes, timeout_s: float) -> bytes:
@@ -130,11 +130,11 @@
         Raises
         ------
         PeerUnreachableError
-            Nothing was sent.
+            If no connection was available in time. Nothing was sent.
         CallTimeoutError
-            No answer came in time.
+            If no answer arrived in time.
         CallFailedError
-            The peer's handler failed.
+            If the handler of the peer failed.
         """
         peer = self._peer(address)
         number = next(self._numbers)
@@ -153,17 +153,17 @@
             peer.calls.pop(number, None)
 
     def forget(self, address: str) -> None:
-        """Close the connection to an address that is not used any more.
+        """Close the connection to an address that is no longer used.
 
-        Calls that wait for an answer from there fail: a call that was cancelled in
-        place of that would end the task that made it.
+        Pending calls to the address fail with `PeerUnreachableError`. They are not
+        cancelled, because that would cancel the tasks that made them.
         """
         peer = self._peers.pop(address, None)
         if peer is not None:
             self._close(peer)
 
     def close(self) -> None:
-        """Close every socket."""
+        """Close all sockets and cancel running handlers."""
         for task in self._tasks:
             task.cancel()
         for peer in self._peers.values():
@@ -192,7 +192,7 @@
         peer = self._peers.get(address)
         if peer is None:
             socket = self._make(zmq.DEALER)
-            # Without this, messages to a dead peer pile up and arrive stale.
+            # Without this, messages to an unreachable peer are queued and arrive outdated.
             socket.setsockopt(zmq.IMMEDIATE, 1)
             socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
             socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
@@ -232,7 +232,7 @@
             return False
         self.traffic.sent += 1
         self.traffic.sent_bytes += len(header) + len(body)
-        # Sending may consume the edge that tells of received messages.
+        # The descriptor is edge-triggered: sending may consume the event of received messages.
         self._loop.call_soon(self._read_all, watched)
         return True
 
--- a/reachlink/messaging/_codec.py
+++ b/reachlink/messaging/_codec.py
@@ -13,17 +13,17 @@
 
 
 def encode(message: Any) -> bytes:
-    """Return a message in MessagePack."""
+    """Return a message encoded as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes, model: type[T]) -> T:
-    """Return the message of type `model` (a class or a union) in `data`.
+    """Decode `data` as a message of type `model`, a class or a union.
 
     Raises
     ------
     CallFailedError
-        If the bytes hold something else.
+        If `data` is not a message of this type.
     """
     decoder = _decoders.get(model)
     if decoder is None:
--- a/reachlink/messaging/_traffic.py
+++ b/reachlink/messaging/_traffic.py
@@ -1,4 +1,4 @@
-"""What a process sends and receives over the bus, counted."""
+"""Traffic counters of the message bus."""
 
 from dataclasses import dataclass
 
@@ -7,10 +7,10 @@
 
 @dataclass(slots=True)
 class Traffic:
-    """Counters of one bus; bytes without the framing of the transport.
+    """Counters of one bus; byte counts exclude the framing of the transport.
 
-    `late` are answers that came when nobody waited for them any more: their bytes
-    were carried for nothing.
+    `late` and `late_bytes` count answers that arrived after their call had
+    ended, so that their transfer was wasted.
     """
 
     sent: int = 0
@@ -23,7 +23,7 @@
 
 
 def export_traffic(metrics: Metrics, traffic: Traffic) -> None:
-    """Put the counters of a bus on a process's metrics page."""
+    """Export the counters of a bus as metrics."""
     export = metrics.observed_counter
     export("reachlink_bus_sent", "By", "Bytes sent.", lambda: traffic.sent_bytes)
     export("reachlink_bus_received", "By", "Bytes received.", lambda: traffic.received_bytes)
--- a/reachlink/messaging/exceptions.py
+++ b/reachlink/messaging/exceptions.py
@@ -10,12 +10,15 @@
 
 
 class PeerUnreachableError(MessagingError):
-    """No connection to the peer, so nothing was sent."""
+    """There is no connection to the peer."""
 
 
 class CallTimeoutError(MessagingError):
-    """No answer in time: the peer may have acted or not."""
+    """No answer arrived in time; the peer may or may not have processed the call."""
 
 
 class CallFailedError(MessagingError):
-    """The peer answered that it failed; it may have acted or not."""
+    """The peer reported a failure; it may have processed the call in part.
+
+    Also raised for a message that cannot be decoded.
+    """
--- a/reachlink/messaging/tests/test_bus.py
+++ b/reachlink/messaging/tests/test_bus.py
@@ -1,4 +1,4 @@
-"""Two ends of the bus on loopback."""
+"""Calls between two bus endpoints on the loopback interface."""
 
 import asyncio
 
--- a/reachlink/messaging/tests/test_traffic.py
+++ b/reachlink/messaging/tests/test_traffic.py
@@ -1,4 +1,4 @@
-"""The bus's counters on a metrics page."""
+"""Bus counters are exported as metrics."""
 
 from reachlink.messaging import Traffic, export_traffic
 from reachlink.telemetry import Metrics
