--- a/benchmarks/bench_tables.py
+++ b/benchmarks/bench_tables.py
@@ -19,7 +19,7 @@
 
 from benchmarks._environment import describe
 from reachlink.control import ControlMachine, PublishCommand
-from reachlink.kernel._lifecycle import _settle_garbage
+from reachlink.kernel._lifecycle import _tune_garbage_collection
 from reachlink.membership import (
     Delta,
     Holding,
@@ -179,7 +179,7 @@
     old = published(1, routes(count, Names()))
     new = changed(old, 2, more)
     # As in a daemon: the collector does not look at what was there before.
-    _settle_garbage()
+    _tune_garbage_collection()
     whole_bytes, whole_ms = whole_way(new)
     patch_ms, patch = least(lambda: patch_between(old, new))
     content = SettingsAnswer(2, True, [Delta(2, table=patch)])
--- a/reachlink/entry/_table_in_force.py
+++ b/reachlink/entry/_table_in_force.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from typing import Any
 
-from reachlink.kernel import in_slices, steady_time
+from reachlink.kernel import run_in_slices, steady_time
 from reachlink.routing import PublishedTable, RoutingError, RoutingIndex, Service, TableReader
 from reachlink.telemetry import get_logger
 
@@ -62,7 +62,7 @@
             return
         started = steady_time()
         try:
-            index = await in_slices(self._tables.steps(published))
+            index = await run_in_slices(self._tables.steps(published))
         except RoutingError as error:
             # It was checked before it was accepted: this is a fault of this version.
             self._log.error("routing_table_unreadable", number=published.number, reason=str(error))
--- a/reachlink/kernel/__init__.py
+++ b/reachlink/kernel/__init__.py
@@ -2,10 +2,10 @@
 
 from reachlink.kernel._clock import Clock, SystemClock, process_started_at, steady_time
 from reachlink.kernel._config import load_config
-from reachlink.kernel._counts import told_count
+from reachlink.kernel._counts import parse_count
 from reachlink.kernel._lifecycle import run_daemon
 from reachlink.kernel._registry import Registry
-from reachlink.kernel._slices import in_slices
+from reachlink.kernel._slices import run_in_slices
 from reachlink.kernel._suspension import watch_suspensions
 from reachlink.kernel._web import bearer_key, json_response
 from reachlink.kernel.exceptions import ConfigError, ReachlinkError, UnknownPluginError
@@ -18,12 +18,12 @@
     "SystemClock",
     "UnknownPluginError",
     "bearer_key",
-    "in_slices",
+    "run_in_slices",
     "json_response",
     "load_config",
     "process_started_at",
     "run_daemon",
     "steady_time",
-    "told_count",
+    "parse_count",
     "watch_suspensions",
 ]
--- a/reachlink/kernel/_counts.py
+++ b/reachlink/kernel/_counts.py
@@ -1,10 +1,10 @@
 """Parsing of counts in messages from outside the system."""
 
 # Maximum number of digits of a count; no valid size or time is longer.
-LONGEST_COUNT = 12
+MAX_COUNT_DIGITS = 12
 
 
-def told_count(text: str) -> int | None:
+def parse_count(text: str) -> int | None:
     """Parse a non-negative decimal integer; return None if it is invalid or too long.
 
     Examples
@@ -13,6 +13,6 @@
     (3000, None, None)
     """
     text = text.strip()
-    if len(text) > LONGEST_COUNT or not (text.isascii() and text.isdigit()):
+    if len(text) > MAX_COUNT_DIGITS or not (text.isascii() and text.isdigit()):
         return None
     return int(text)
--- a/reachlink/kernel/_lifecycle.py
+++ b/reachlink/kernel/_lifecycle.py
@@ -51,14 +51,14 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, signals.put_nowait, number)
     await daemon.start()
-    _settle_garbage()
+    _tune_garbage_collection()
     await signals.get()
     forced = await _first_done(daemon.drain(), signals.get())
     await daemon.stop()
     return 1 if forced else 0
 
 
-def _settle_garbage() -> None:
+def _tune_garbage_collection() -> None:
     """Exclude long-lived objects from garbage collection and collect less often.
 
     Streams create few reference cycles, so most collections find nothing. Rarer
--- a/reachlink/kernel/_slices.py
+++ b/reachlink/kernel/_slices.py
@@ -13,7 +13,7 @@
 SLICE_S = 0.002
 
 
-async def in_slices(work: Generator[None, None, T]) -> T:
+async def run_in_slices(work: Generator[None, None, T]) -> T:
     """Run a generator in time slices and return its result.
 
     Parameters
--- a/reachlink/kernel/_suspension.py
+++ b/reachlink/kernel/_suspension.py
@@ -7,16 +7,16 @@
 from reachlink.kernel._clock import steady_time
 
 # Interval between two checks, in seconds of the clock of the event loop.
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 # Shortest suspension that is reported, in seconds. Shorter ones are within the inaccuracy
 # of timers.
-LEAST_S = 0.1
+MIN_SUSPENSION_S = 0.1
 
 
 async def watch_suspensions(
     on_resumed: Callable[[float], None],
     clock: Callable[[], float] = steady_time,
-    timers: Callable[[], float] = time.monotonic,
+    timer_clock: Callable[[], float] = time.monotonic,
 ) -> None:
     """Call `on_resumed` after each suspension of the machine, until cancelled.
 
@@ -26,13 +26,13 @@
         Called with the duration of the suspension in seconds.
     clock : callable
         Clock in seconds that continues during a suspension.
-    timers : callable
+    timer_clock : callable
         Clock in seconds of the event loop timers, which stops during a suspension.
     """
-    ahead = clock() - timers()
+    ahead = clock() - timer_clock()
     while True:
-        await asyncio.sleep(LOOK_S)
-        suspended_s = clock() - timers() - ahead
-        if suspended_s > LEAST_S:
+        await asyncio.sleep(CHECK_INTERVAL_S)
+        suspended_s = clock() - timer_clock() - ahead
+        if suspended_s > MIN_SUSPENSION_S:
             ahead += suspended_s
             on_resumed(suspended_s)
--- a/reachlink/kernel/tests/test_layers.py
+++ b/reachlink/kernel/tests/test_layers.py
@@ -79,7 +79,7 @@
     return [p for p in ROOT.rglob("*.py") if "tests" not in p.parts and p.parent != ROOT]
 
 
-def test_imports_go_down_only():
+def test_modules_import_only_from_lower_layers():
     wrong = []
     for path in sources():
         own = path.relative_to(ROOT).parts[0]
@@ -99,7 +99,7 @@
     assert {name.split(".")[0] for name in imported(path)} & IMPURE == set()
 
 
-def test_every_subpackage_names_what_it_offers():
+def test_every_subpackage_defines_all():
     for name in LEVEL_OF:
         text = (ROOT / name / "__init__.py").read_text()
         assert "__all__" in text, name
--- a/reachlink/messaging/_bus.py
+++ b/reachlink/messaging/_bus.py
@@ -32,20 +32,20 @@
 Handler = Callable[[str, bytes], Awaitable[bytes | None]]
 """Receives the name of the sender and a body; returns the body of the answer to a call."""
 
-HIGH_WATER = 1000
+HIGH_WATER_MARK = 1000
 HEARTBEAT_MS = 1000
 HEARTBEAT_TIMEOUT_MS = 3000
 # Without this timeout, a connection attempt during a network partition waits for a TCP
 # retransmission, seconds after the partition has ended.
 CONNECT_TIMEOUT_MS = 400
 HANDSHAKE_TIMEOUT_MS = 1000
-RECONNECT_MS = 100
-RECONNECT_MAX_MS = 1000
-CONNECT_POLL_S = 0.02
+RECONNECT_INTERVAL_MS = 100
+MAX_RECONNECT_INTERVAL_MS = 1000
+CONNECT_POLL_INTERVAL_S = 0.02
 MAX_MESSAGE_BYTES = 64 << 20
 
 
-class Kind(IntEnum):
+class MessageKind(IntEnum):
     """Kind of a message."""
 
     SEND = 0
@@ -56,7 +56,7 @@
 
 class _Header(msgspec.Struct, array_like=True):
     sender: str
-    kind: Kind
+    kind: MessageKind
     channel: str
     number: int
 
@@ -66,10 +66,10 @@
 
 
 @dataclass(slots=True)
-class _Socket:
+class _BusSocket:
     socket: zmq.Socket[bytes]
     descriptor: int
-    calls: dict[int, asyncio.Future[bytes]] = field(default_factory=dict)
+    pending_calls: dict[int, asyncio.Future[bytes]] = field(default_factory=dict)
 
 
 class Bus:
@@ -94,9 +94,9 @@
         self._context = zmq.Context()
         self._loop = asyncio.get_running_loop()
         self._handlers: dict[str, Handler] = {}
-        self._peers: dict[str, _Socket] = {}
-        self._router: _Socket | None = None
-        self._numbers = itertools.count(1)
+        self._peers: dict[str, _BusSocket] = {}
+        self._router: _BusSocket | None = None
+        self._call_numbers = itertools.count(1)
         self._tasks: set[asyncio.Task[None]] = set()
         self.traffic = Traffic()
 
@@ -112,17 +112,17 @@
         MessagingError
             If the address cannot be bound.
         """
-        socket = self._make(zmq.ROUTER)
+        socket = self._make_socket(zmq.ROUTER)
         socket.curve_server = bool(self._secret_key)
         try:
             socket.bind(f"tcp://{address}")
         except zmq.ZMQError as error:
             raise MessagingError(f"cannot listen on {address}: {error}") from error
-        self._router = self._watch(socket)
+        self._router = self._add_reader(socket)
 
     def send(self, address: str, channel: str, body: bytes) -> bool:
         """Send a one-way message; return whether ZeroMQ accepted it for sending."""
-        return self._put(self._peer(address), Kind.SEND, channel, 0, body)
+        return self._send_message(self._peer_socket(address), MessageKind.SEND, channel, 0, body)
 
     async def call(self, address: str, channel: str, body: bytes, timeout_s: float) -> bytes:
         """Send a call and return its answer.
@@ -136,21 +136,21 @@
         CallFailedError
             If the handler of the peer failed.
         """
-        peer = self._peer(address)
-        number = next(self._numbers)
+        peer = self._peer_socket(address)
+        number = next(self._call_numbers)
         future: asyncio.Future[bytes] = self._loop.create_future()
         deadline = self._loop.time() + timeout_s
-        while not self._put(peer, Kind.CALL, channel, number, body):
+        while not self._send_message(peer, MessageKind.CALL, channel, number, body):
             if self._loop.time() > deadline:
                 raise PeerUnreachableError(address)
-            await asyncio.sleep(CONNECT_POLL_S)
-        peer.calls[number] = future
+            await asyncio.sleep(CONNECT_POLL_INTERVAL_S)
+        peer.pending_calls[number] = future
         try:
             return await asyncio.wait_for(future, max(0.0, deadline - self._loop.time()))
         except TimeoutError as error:
             raise CallTimeoutError(f"{channel} at {address}") from error
         finally:
-            peer.calls.pop(number, None)
+            peer.pending_calls.pop(number, None)
 
     def forget(self, address: str) -> None:
         """Close the connection to an address that is no longer used.
@@ -160,24 +160,24 @@
         """
         peer = self._peers.pop(address, None)
         if peer is not None:
-            self._close(peer)
+            self._close_socket(peer)
 
     def close(self) -> None:
         """Close all sockets and cancel running handlers."""
         for task in self._tasks:
             task.cancel()
         for peer in self._peers.values():
-            self._close(peer)
+            self._close_socket(peer)
         self._peers.clear()
         if self._router is not None:
-            self._close(self._router)
+            self._close_socket(self._router)
         self._context.term()
 
-    def _make(self, kind: int) -> zmq.Socket[bytes]:
+    def _make_socket(self, kind: int) -> zmq.Socket[bytes]:
         socket: zmq.Socket[bytes] = self._context.socket(kind)
         socket.setsockopt(zmq.LINGER, 0)
-        socket.setsockopt(zmq.SNDHWM, HIGH_WATER)
-        socket.setsockopt(zmq.RCVHWM, HIGH_WATER)
+        socket.setsockopt(zmq.SNDHWM, HIGH_WATER_MARK)
+        socket.setsockopt(zmq.RCVHWM, HIGH_WATER_MARK)
         socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
         socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
         socket.setsockopt(zmq.MAXMSGSIZE, MAX_MESSAGE_BYTES)
@@ -188,36 +188,36 @@
             socket.curve_publickey = self._public_key
         return socket
 
-    def _peer(self, address: str) -> _Socket:
+    def _peer_socket(self, address: str) -> _BusSocket:
         peer = self._peers.get(address)
         if peer is None:
-            socket = self._make(zmq.DEALER)
+            socket = self._make_socket(zmq.DEALER)
             # Without this, messages to an unreachable peer are queued and arrive outdated.
             socket.setsockopt(zmq.IMMEDIATE, 1)
-            socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
-            socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
+            socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_INTERVAL_MS)
+            socket.setsockopt(zmq.RECONNECT_IVL_MAX, MAX_RECONNECT_INTERVAL_MS)
             if self._public_key:
                 socket.curve_serverkey = self._public_key
             socket.connect(f"tcp://{self._routes.get(address, address)}")
-            peer = self._peers[address] = self._watch(socket)
+            peer = self._peers[address] = self._add_reader(socket)
         return peer
 
-    def _watch(self, socket: zmq.Socket[bytes]) -> _Socket:
-        watched = _Socket(socket, socket.getsockopt(zmq.FD))  # type: ignore[arg-type]
-        self._loop.add_reader(watched.descriptor, self._read_all, watched)
-        return watched
+    def _add_reader(self, socket: zmq.Socket[bytes]) -> _BusSocket:
+        bus_socket = _BusSocket(socket, socket.getsockopt(zmq.FD))  # type: ignore[arg-type]
+        self._loop.add_reader(bus_socket.descriptor, self._read_all, bus_socket)
+        return bus_socket
 
-    def _close(self, watched: _Socket) -> None:
-        self._loop.remove_reader(watched.descriptor)
-        watched.socket.close(linger=0)
-        for call in watched.calls.values():
+    def _close_socket(self, bus_socket: _BusSocket) -> None:
+        self._loop.remove_reader(bus_socket.descriptor)
+        bus_socket.socket.close(linger=0)
+        for call in bus_socket.pending_calls.values():
             if not call.done():
                 call.set_exception(PeerUnreachableError("the connection was closed"))
 
-    def _put(
+    def _send_message(
         self,
-        watched: _Socket,
-        kind: Kind,
+        bus_socket: _BusSocket,
+        kind: MessageKind,
         channel: str,
         number: int,
         body: bytes,
@@ -226,25 +226,25 @@
         header = _encode_header(_Header(self._name, kind, channel, number))
         frames = [header, body] if to is None else [to, header, body]
         try:
-            watched.socket.send_multipart(frames, zmq.NOBLOCK)
+            bus_socket.socket.send_multipart(frames, zmq.NOBLOCK)
         except zmq.ZMQError:
             self.traffic.dropped += 1
             return False
         self.traffic.sent += 1
         self.traffic.sent_bytes += len(header) + len(body)
         # The descriptor is edge-triggered: sending may consume the event of received messages.
-        self._loop.call_soon(self._read_all, watched)
+        self._loop.call_soon(self._read_all, bus_socket)
         return True
 
-    def _read_all(self, watched: _Socket) -> None:
-        while not watched.socket.closed:
+    def _read_all(self, bus_socket: _BusSocket) -> None:
+        while not bus_socket.socket.closed:
             try:
-                frames = watched.socket.recv_multipart(zmq.NOBLOCK)
+                frames = bus_socket.socket.recv_multipart(zmq.NOBLOCK)
             except zmq.Again:
                 return
-            self._read_one(watched, frames)
+            self._process_message(bus_socket, frames)
 
-    def _read_one(self, watched: _Socket, frames: list[bytes]) -> None:
+    def _process_message(self, bus_socket: _BusSocket, frames: list[bytes]) -> None:
         *route, raw, body = frames
         self.traffic.received += 1
         self.traffic.received_bytes += len(raw) + len(body)
@@ -253,36 +253,38 @@
         except msgspec.DecodeError:
             self.traffic.dropped += 1
             return
-        if header.kind in (Kind.ANSWER, Kind.FAILURE):
-            call = watched.calls.pop(header.number, None)
+        if header.kind in (MessageKind.ANSWER, MessageKind.FAILURE):
+            call = bus_socket.pending_calls.pop(header.number, None)
             if call is None:
                 self.traffic.late += 1
                 self.traffic.late_bytes += len(body)
-            _resolve(call, header.kind, body)
+            _complete_call(call, header.kind, body)
             return
         to = route[0] if route else None
-        task = self._loop.create_task(self._run(watched, header, body, to))
+        task = self._loop.create_task(self._run(bus_socket, header, body, to))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(self, watched: _Socket, header: _Header, body: bytes, to: bytes | None) -> None:
+    async def _run(
+        self, bus_socket: _BusSocket, header: _Header, body: bytes, to: bytes | None
+    ) -> None:
         handler = self._handlers.get(header.channel)
-        kind = Kind.ANSWER
+        kind = MessageKind.ANSWER
         answer: bytes | None
         try:
             if handler is None:
                 raise CallFailedError(f"nothing handles {header.channel!r}")
             answer = await handler(header.sender, body)
         except Exception as error:  # noqa: BLE001 - every failure must reach the caller
-            kind, answer = Kind.FAILURE, f"{type(error).__name__}: {error}".encode()
-        if header.kind is Kind.CALL and not watched.socket.closed:
-            self._put(watched, kind, "", header.number, answer or b"", to)
+            kind, answer = MessageKind.FAILURE, f"{type(error).__name__}: {error}".encode()
+        if header.kind is MessageKind.CALL and not bus_socket.socket.closed:
+            self._send_message(bus_socket, kind, "", header.number, answer or b"", to)
 
 
-def _resolve(call: asyncio.Future[bytes] | None, kind: Kind, body: bytes) -> None:
+def _complete_call(call: asyncio.Future[bytes] | None, kind: MessageKind, body: bytes) -> None:
     if call is None or call.done():
         return
-    if kind is Kind.ANSWER:
+    if kind is MessageKind.ANSWER:
         call.set_result(body)
     else:
         call.set_exception(CallFailedError(body.decode(errors="replace")))
--- a/reachlink/messaging/tests/test_bus.py
+++ b/reachlink/messaging/tests/test_bus.py
@@ -8,60 +8,60 @@
 from reachlink.testing._ports import free_ports
 
 
-def test_a_call_whose_connection_is_closed_fails_and_cancels_nothing():
-    async def play():
-        asking, asked = Bus("a", b""), Bus("b", b"")
+def test_a_call_whose_connection_is_closed_fails_and_is_not_cancelled():
+    async def scenario():
+        client, server = Bus("a", b""), Bus("b", b"")
         address = f"127.0.0.1:{free_ports(1)[0]}"
-        arrived = asyncio.Event()
+        received = asyncio.Event()
 
         async def never(sender: str, body: bytes) -> bytes:
-            arrived.set()
+            received.set()
             await asyncio.sleep(60.0)
             return b""
 
-        asked.handle("c", never)
-        asked.bind(address)
-        call = asyncio.create_task(asking.call(address, "c", b"", 30.0))
+        server.handle("c", never)
+        server.bind(address)
+        call = asyncio.create_task(client.call(address, "c", b"", 30.0))
         try:
-            await arrived.wait()
-            asking.forget(address)
+            await received.wait()
+            client.forget(address)
             with pytest.raises(PeerUnreachableError):
                 await call
         finally:
-            asking.close()
-            asked.close()
+            client.close()
+            server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
 
 
-def test_answers_that_nobody_waits_for_are_counted():
-    async def play():
-        asking, asked = Bus("a", b""), Bus("b", b"")
+def test_answers_after_the_timeout_of_their_call_are_counted():
+    async def scenario():
+        client, server = Bus("a", b""), Bus("b", b"")
         address = f"127.0.0.1:{free_ports(1)[0]}"
-        arrived, released = asyncio.Event(), asyncio.Event()
+        received, released = asyncio.Event(), asyncio.Event()
 
         async def held(sender: str, body: bytes) -> bytes:
-            arrived.set()
+            received.set()
             await released.wait()
             return b"12345"
 
         async def prompt(sender: str, body: bytes) -> bytes:
             return b""
 
-        asked.handle("held", held)
-        asked.handle("prompt", prompt)
-        asked.bind(address)
+        server.handle("held", held)
+        server.handle("prompt", prompt)
+        server.bind(address)
         try:
-            await asking.call(address, "prompt", b"", 30.0)
+            await client.call(address, "prompt", b"", 30.0)
             with pytest.raises(CallTimeoutError):
-                await asking.call(address, "held", b"", 0.05)
-            await arrived.wait()
+                await client.call(address, "held", b"", 0.05)
+            await received.wait()
             released.set()
-            while not asking.traffic.late:
-                await asking.call(address, "prompt", b"", 30.0)
-            assert (asking.traffic.late, asking.traffic.late_bytes) == (1, 5)
+            while not client.traffic.late:
+                await client.call(address, "prompt", b"", 30.0)
+            assert (client.traffic.late, client.traffic.late_bytes) == (1, 5)
         finally:
-            asking.close()
-            asked.close()
+            client.close()
+            server.close()
 
-    asyncio.run(play())
+    asyncio.run(scenario())
--- a/reachlink/messaging/tests/test_traffic.py
+++ b/reachlink/messaging/tests/test_traffic.py
@@ -4,7 +4,7 @@
 from reachlink.telemetry import Metrics
 
 
-def test_bytes_that_came_too_late_are_on_the_page():
+def test_bytes_of_late_answers_are_exported():
     metrics, traffic = Metrics("entry", "e1", "a"), Traffic()
     export_traffic(metrics, traffic)
     traffic.late_bytes = 7
