--- a/reachlink/upstreams/tests/__init__.py
+++ b/reachlink/upstreams/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the upstream adapters."""
--- a/reachlink/upstreams/tests/test_bodies.py
+++ b/reachlink/upstreams/tests/test_bodies.py
@@ -1,4 +1,7 @@
-"""A long body is handed on as its receiver takes it, and arrives as it was."""
+"""A long body is sent only as fast as its receiver reads it, and arrives complete.
+
+Without flow control, a connection to a slow receiver buffers a second copy of the body.
+"""
 
 import asyncio
 import socket
@@ -14,44 +17,44 @@
 
 
 class SlowWriter:
-    """A connection that takes a piece each time its other end reads."""
+    """Writer that drains one chunk each time its receiver reads."""
 
     def __init__(self) -> None:
-        self.given: list[bytes] = []
+        self.written: list[bytes] = []
         self.reads = asyncio.Semaphore(0)
 
     async def write(self, data: Any) -> None:
-        self.given.append(bytes(data))
+        self.written.append(bytes(data))
 
     async def drain(self) -> None:
         await self.reads.acquire()
 
 
-def test_no_piece_is_handed_on_before_the_one_before_was_taken():
+def test_each_chunk_is_written_after_the_previous_one_is_drained():
     async def work() -> None:
         writer: Any = SlowWriter()
         writing = asyncio.create_task(FlowControlledBody(BODY).write_with_length(writer, None))
-        for taken in range(1, 7):
-            while len(writer.given) < taken:
+        for count in range(1, 7):
+            while len(writer.written) < count:
                 await asyncio.sleep(0)
-            # Nothing more comes, however often others run.
+            # No further chunk is written, however often the event loop runs.
             for _ in range(10):
                 await asyncio.sleep(0)
-            assert len(writer.given) == taken
+            assert len(writer.written) == count
             writer.reads.release()
         await writing
-        assert b"".join(writer.given) == BODY
-        assert max(map(len, writer.given)) == WRITE_CHUNK_BYTES
+        assert b"".join(writer.written) == BODY
+        assert max(map(len, writer.written)) == WRITE_CHUNK_BYTES
 
     asyncio.run(work())
 
 
-def test_a_replica_gets_it_whole_with_its_length():
+def test_replica_receives_complete_body_with_content_length():
     async def work() -> None:
-        got: list[tuple[str, bytes]] = []
+        received: list[tuple[str, bytes]] = []
 
         async def serve(request: web.BaseRequest) -> web.Response:
-            got.append((request.headers["Content-Length"], await request.read()))
+            received.append((request.headers["Content-Length"], await request.read()))
             assert "Content-Type" not in request.headers
             return web.Response(body=BODY)
 
@@ -65,7 +68,7 @@
             url = f"http://127.0.0.1:{port}/x"
             answer = await client.relay("POST", url, [], BODY)
             assert await answer.read() == BODY
-            assert got == [(str(len(BODY)), BODY)]
+            assert received == [(str(len(BODY)), BODY)]
         finally:
             await client.close()
             await runner.cleanup()
@@ -73,17 +76,17 @@
     asyncio.run(work())
 
 
-def test_a_replica_that_does_not_read_has_little_of_a_body_held_for_it():
+def test_little_of_a_body_is_buffered_for_a_replica_that_does_not_read():
     body = BODY * 32
 
     async def work() -> None:
-        reads = asyncio.Event()
-        got = bytearray()
+        may_read = asyncio.Event()
+        received = bytearray()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            await reads.wait()
-            got.extend(await reader.readexactly(len(body)))
+            await may_read.wait()
+            received.extend(await reader.readexactly(len(body)))
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
         listener = socket.socket()
@@ -93,14 +96,14 @@
         port = listener.getsockname()[1]
         client = HttpClient(bounded=True)
         try:
-            asked = client.relay("POST", f"http://127.0.0.1:{port}/x", [], body)
-            answer = asyncio.create_task(asked)
+            relaying = client.relay("POST", f"http://127.0.0.1:{port}/x", [], body)
+            answer = asyncio.create_task(relaying)
             async with asyncio.timeout(30.0):
-                connection = await writing(client)
+                connection = await paused_connection(client)
                 assert 0 < connection.transport.get_write_buffer_size() <= 2 * WRITE_CHUNK_BYTES
-                reads.set()
+                may_read.set()
                 assert (await answer).status == 200
-            assert bytes(got) == body
+            assert bytes(received) == body
         finally:
             await client.close()
             server.close()
@@ -108,12 +111,12 @@
     asyncio.run(work())
 
 
-async def writing(client: HttpClient) -> Any:
-    """Return the connection of a client once its other end takes no more."""
+async def paused_connection(client: HttpClient) -> Any:
+    """Return the connection of a client once writing to it is paused."""
     while True:
         await asyncio.sleep(0.001)
         connector: Any = client._session.connector
         for connection in connector._acquired:
-            # A place that is kept for a connection which is still being made comes first.
+            # A connection that is still being opened has a placeholder here.
             if isinstance(connection, ResponseHandler) and connection.writing_paused:
                 return connection
--- a/reachlink/upstreams/tests/test_connections.py
+++ b/reachlink/upstreams/tests/test_connections.py
@@ -1,4 +1,7 @@
-"""No byte of one request's answer ever reaches another, and a reset body is not whole."""
+"""Bytes of one answer never reach another request, and a body cut off by a reset is an error.
+
+Surplus bytes on a reused connection would be read as the answer to the next request.
+"""
 
 import asyncio
 import socket
@@ -52,7 +55,7 @@
     writer.transport.abort()
 
 
-def test_a_surplus_answer_that_comes_late_is_dropped_with_its_connection():
+def test_connection_with_a_late_surplus_answer_is_dropped():
     async def scenario():
         sent = asyncio.Event()
 
@@ -78,7 +81,7 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_is_used_again():
+def test_connection_is_reused():
     async def scenario():
         async def script(reader, writer):
             while True:
@@ -96,7 +99,7 @@
     asyncio.run(scenario())
 
 
-def test_a_connection_near_the_end_of_its_idle_time_is_not_used(monkeypatch):
+def test_connection_near_the_end_of_its_idle_timeout_is_not_reused(monkeypatch):
     now = [100.0]
     monkeypatch.setattr(connections, "steady_time", lambda: now[0])
 
@@ -122,7 +125,7 @@
 
 
 @pytest.mark.parametrize("ending,whole", [("close", True), ("reset", False)])
-def test_a_body_that_ends_with_its_connection(ending, whole):
+def test_body_is_complete_if_its_connection_is_closed_but_not_if_reset(ending, whole):
     async def scenario():
         async def script(reader, writer):
             await read_request(reader)
@@ -151,7 +154,7 @@
             asyncio.run(scenario())
 
 
-def test_bytes_that_are_no_answer_break_the_request():
+def test_invalid_answer_raises_upstream_broken_error():
     async def scenario():
         async def script(reader, writer):
             await read_request(reader)
@@ -168,7 +171,7 @@
     asyncio.run(scenario())
 
 
-def test_the_target_and_header_fields_go_out_as_they_came():
+def test_target_and_header_fields_are_relayed_unchanged():
     async def scenario():
         seen = []
 
@@ -194,8 +197,8 @@
 
 
 @pytest.mark.parametrize("kept", [False, True], ids=["new connection", "kept connection"])
-def test_what_waits_for_its_connection_is_not_sent_to_a_replica_in_backoff(kept, monkeypatch):
-    """It was decided before the replica asked for that; nothing of it goes out."""
+def test_request_waiting_for_a_connection_is_not_sent_to_a_replica_in_backoff(kept, monkeypatch):
+    """The replica requests a backoff after the request was placed on it; nothing is sent."""
 
     async def scenario():
         received = []
--- a/reachlink/upstreams/tests/test_events.py
+++ b/reachlink/upstreams/tests/test_events.py
@@ -1,4 +1,4 @@
-"""Cutting a body into events."""
+"""Splitting of a body into events."""
 
 import pytest
 from hypothesis import given
@@ -10,7 +10,7 @@
 
 
 @given(st.lists(st.integers(1, len(BODY) - 1), max_size=40))
-def test_events_are_the_same_however_the_body_is_cut(cuts):
+def test_events_do_not_depend_on_chunk_boundaries(cuts):
     splitter = EventSplitter()
     edges = [0, *sorted(set(cuts)), len(BODY)]
     events = [e for a, b in zip(edges, edges[1:], strict=False) for e in splitter.feed(BODY[a:b])]
@@ -19,11 +19,11 @@
     assert splitter.rest == b""
 
 
-def test_an_event_without_a_number():
+def test_event_without_id_has_number_minus_one():
     assert EventSplitter().feed(b"data: a\r\n\r\n")[0].number == -1
 
 
-def test_an_endless_event_is_refused():
+def test_too_large_event_raises_value_error():
     splitter = EventSplitter()
     with pytest.raises(ValueError, match="too large"):
         splitter.feed(b"x" * (300 << 10))
--- a/reachlink/upstreams/tests/test_extending.py
+++ b/reachlink/upstreams/tests/test_extending.py
@@ -1,4 +1,4 @@
-"""The example of ``docs/extending.md`` works as written."""
+"""The example adapter in ``docs/extending.md`` works as written."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 PAGE = Path(__file__).parents[3] / "docs" / "extending.md"
 
 
-def test_example_of_the_page_registers_and_answers():
+def test_documented_example_registers_and_answers():
     (code,) = re.findall(r"```python\n(.*?)```", PAGE.read_text(), flags=re.DOTALL)
     exec(compile(code, str(PAGE), "exec"), {"__name__": "example"})
     adapter = ADAPTERS.get("echo-service")(HttpClient())
--- a/reachlink/upstreams/tests/test_loads.py
+++ b/reachlink/upstreams/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""The load that replicas tell: any number of figures, and what cannot be read."""
+"""Decoding of reported loads with optional, unknown and unreadable fields."""
 
 import pytest
 from structlog.testing import capture_logs
@@ -17,7 +17,7 @@
         ("3,1,8,250,what comes next,9", LoadSample(3, 1, 8, 2.5)),
     ],
 )
-def test_any_number_of_figures(text, expected):
+def test_optional_and_unknown_fields(text, expected):
     decoder = LoadDecoder()
     assert decoder.decode(text, "r1") == expected
     assert decoder.unreadable == 0
@@ -37,19 +37,19 @@
         (",,,", None),
     ],
 )
-def test_what_cannot_be_read_is_counted_and_takes_nothing_from_what_can(text, expected):
+def test_unreadable_field_is_counted_and_fields_before_it_are_kept(text, expected):
     decoder = LoadDecoder()
     assert decoder.decode(text, "r1") == expected
     assert decoder.unreadable == 1
 
 
-def test_an_answer_without_a_load_is_no_fault():
+def test_missing_load_is_not_counted_as_unreadable():
     decoder = LoadDecoder()
     assert (decoder.decode(None, "r1"), decoder.decode("", "r1")) == (None, None)
     assert decoder.unreadable == 0
 
 
-def test_each_replica_is_logged_once_in_a_while():
+def test_log_lines_are_limited_per_replica():
     decoder = LoadDecoder()
     with capture_logs() as lines:
         for number in range(60):
@@ -61,7 +61,7 @@
     assert decoder.unreadable == 60
 
 
-def test_memory_of_what_was_logged_is_bounded():
+def test_number_of_remembered_log_times_is_bounded():
     decoder = LoadDecoder()
     with capture_logs():
         for number in range(MAX_LOGGED_REPLICAS + 50):
