--- a/reachlink/telemetry/_logs.py
+++ b/reachlink/telemetry/_logs.py
@@ -28,13 +28,13 @@
             structlog.processors.LogfmtRenderer(key_order=_KEY_ORDER, drop_missing=True),
         ],
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
-        logger_factory=structlog.WriteLoggerFactory(_output(sys.stdout)),
+        logger_factory=structlog.WriteLoggerFactory(_make_output(sys.stdout)),
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.bind_contextvars(**context)
 
 
-def _output(stream: Any) -> Any:
+def _make_output(stream: Any) -> Any:
     """Return the stream itself where it has no descriptor, as under a test runner."""
     try:
         return BoundedOutput(stream.fileno())
--- a/reachlink/telemetry/_losses.py
+++ b/reachlink/telemetry/_losses.py
@@ -79,14 +79,14 @@
 
     def counts(self, by: LossGroup = LossGroup.ROUTE) -> dict[tuple[str, LossCause], int]:
         """Return how many requests each cause took, by route or another group."""
-        found: dict[tuple[str, LossCause], int] = {}
+        counts: dict[tuple[str, LossCause], int] = {}
         for loss in self.losses:
             key = loss.group_key(by), loss.cause
-            found[key] = found.get(key, 0) + 1
-        return found
+            counts[key] = counts.get(key, 0) + 1
+        return counts
 
 
-_BY_OUTCOME = {
+_CAUSE_BY_OUTCOME = {
     "no_replica": LossCause.NO_ROOM,
     "no_room": LossCause.NO_ROOM,
     "line_full": LossCause.QUEUE_FULL,
@@ -104,11 +104,13 @@
 
 
 # What an instance tells when it has sent a request to a replica, or hears of it there.
-_AT_REPLICA = frozenset({"generation_placed", "stream_joined", "stream_broken", "attempt_failed"})
+_REPLICA_EVENTS = frozenset(
+    {"generation_placed", "stream_joined", "stream_broken", "attempt_failed"}
+)
 
 
 @dataclass(slots=True)
-class _Lives:
+class _RequestHistory:
     """What lines before its end tell of each request.
 
     Attributes
@@ -117,7 +119,7 @@
         Where it ran last, by request.
     broken : dict of str to str
         The replica whose stream broke off last, by request.
-    joints : dict of str to set of int
+    resume_events : dict of str to set of int
         Events that were the first ones of another replica, by request.
     workspaces : dict of str to str
         Its workspace, by request.
@@ -125,23 +127,23 @@
         Replicas that were told to leave.
     """
 
-    homes: dict[str, str] = field(default_factory=dict)
-    broken: dict[str, str] = field(default_factory=dict)
-    joints: dict[str, set[int]] = field(default_factory=dict)
+    last_replicas: dict[str, str] = field(default_factory=dict)
+    broken_replicas: dict[str, str] = field(default_factory=dict)
+    resume_events: dict[str, set[int]] = field(default_factory=dict)
     workspaces: dict[str, str] = field(default_factory=dict)
-    leaving: set[str] = field(default_factory=set)
+    leaving_replicas: set[str] = field(default_factory=set)
 
-    def note(self, record: LogRecord) -> None:
+    def add_record(self, record: LogRecord) -> None:
         """Take in one line."""
         request_id, replica = record.request_id, record.fields.get("replica", "")
         if record.event == "upstream_leaving":
-            self.leaving.add(replica)
-        if record.event in _AT_REPLICA:
-            self.homes[request_id] = replica
+            self.leaving_replicas.add(replica)
+        if record.event in _REPLICA_EVENTS:
+            self.last_replicas[request_id] = replica
         if record.event == "stream_broken":
-            self.broken[request_id] = replica
+            self.broken_replicas[request_id] = replica
         if record.event == "stream_joined":
-            self.joints.setdefault(request_id, set()).add(int(record.number("event_number")))
+            self.resume_events.setdefault(request_id, set()).add(int(record.number("event_number")))
         if record.fields.get("workspace"):
             self.workspaces[request_id] = record.fields["workspace"]
 
@@ -156,22 +158,24 @@
         only streams are counted as in time.
     """
     records = sorted(records, key=lambda record: record.at)
-    lives = _Lives()
+    history = _RequestHistory()
     for record in records:
-        lives.note(record)
-    account = LossSummary()
+        history.add_record(record)
+    summary = LossSummary()
     for record in records:
         if record.event == "request_ended":
-            _add(account, record, _cause_of_end(record, lives), lives)
+            _add_request(summary, record, _cause_of_end(record, history), history)
         elif record.event == "stream_delivered":
-            _add(account, record, _cause_of_delay(record, lives), lives)
-    return account
+            _add_request(summary, record, _cause_of_delay(record, history), history)
+    return summary
 
 
-def _add(account: LossSummary, record: LogRecord, cause: LossCause | None, lives: _Lives) -> None:
+def _add_request(
+    summary: LossSummary, record: LogRecord, cause: LossCause | None, history: _RequestHistory
+) -> None:
     route, request_id = record.fields.get("route", ""), record.request_id
     if cause is None:
-        account.in_time[route] = account.in_time.get(route, 0) + 1
+        summary.in_time[route] = summary.in_time.get(route, 0) + 1
         return
     loss = Loss(
         request_id,
@@ -179,26 +183,30 @@
         cause,
         record.at,
         zone=record.fields.get("availability_zone", ""),
-        replica=record.fields.get("replica") or lives.homes.get(request_id, ""),
-        workspace=lives.workspaces.get(request_id, ""),
+        replica=record.fields.get("replica") or history.last_replicas.get(request_id, ""),
+        workspace=history.workspaces.get(request_id, ""),
     )
-    account.losses.append(loss)
+    summary.losses.append(loss)
 
 
-def _cause_of_end(record: LogRecord, lives: _Lives) -> LossCause:
+def _cause_of_end(record: LogRecord, history: _RequestHistory) -> LossCause:
     outcome = record.fields.get("outcome", "")
     if outcome == "no_copy_left":
-        left = lives.broken.get(record.request_id) in lives.leaving
-        return LossCause.REPLICA_LEFT_WITHOUT_COPY if left else LossCause.STREAM_BROKEN_WITHOUT_COPY
-    return _BY_OUTCOME.get(outcome, LossCause.OTHER_FAILURE)
+        replica_left = history.broken_replicas.get(record.request_id) in history.leaving_replicas
+        return (
+            LossCause.REPLICA_LEFT_WITHOUT_COPY
+            if replica_left
+            else LossCause.STREAM_BROKEN_WITHOUT_COPY
+        )
+    return _CAUSE_BY_OUTCOME.get(outcome, LossCause.OTHER_FAILURE)
 
 
-def _cause_of_delay(record: LogRecord, lives: _Lives) -> LossCause | None:
+def _cause_of_delay(record: LogRecord, history: _RequestHistory) -> LossCause | None:
     """Return why a whole stream was late, or None where it was in time."""
     if record.number("first_event_ms") > record.number("objective_ms") > 0:
         return LossCause.LATE_FIRST_EVENT
     if not record.number("longest_pause_ms") > record.number("pause_goal_ms") > 0:
         return None
-    joints = lives.joints.get(record.request_id, set())
-    at_joint = int(record.number("longest_pause_at")) in joints
-    return LossCause.LATE_AT_RESUME if at_joint else LossCause.LATE_WITHIN_REPLICA
+    resume_events = history.resume_events.get(record.request_id, set())
+    at_resume = int(record.number("longest_pause_at")) in resume_events
+    return LossCause.LATE_AT_RESUME if at_resume else LossCause.LATE_WITHIN_REPLICA
--- a/reachlink/telemetry/_output.py
+++ b/reachlink/telemetry/_output.py
@@ -6,7 +6,7 @@
 
 # Lines that wait while the reader does not read; at some 250 bytes a line,
 # half a megabyte.
-MAX_WAITING = 2000
+MAX_BUFFERED_LINES = 2000
 
 
 class BoundedOutput:
@@ -24,39 +24,39 @@
         Lines that are kept.
     """
 
-    def __init__(self, descriptor: int, max_waiting: int = MAX_WAITING) -> None:
+    def __init__(self, descriptor: int, max_buffered_lines: int = MAX_BUFFERED_LINES) -> None:
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._max_waiting = max_waiting
-        self._lost = 0
+        self._buffered_lines: deque[bytes] = deque()
+        self._max_buffered_lines = max_buffered_lines
+        self._lost_lines = 0
         if stat.S_ISFIFO(os.fstat(descriptor).st_mode):
             os.set_blocking(descriptor, False)
 
     @property
-    def lost(self) -> int:
+    def lost_lines(self) -> int:
         """Lines lost since the last time that this was told."""
-        return self._lost
+        return self._lost_lines
 
     def write(self, text: str) -> None:
         """Take one whole line, with its newline."""
         self.flush()
-        if len(self._waiting) >= self._max_waiting:
-            self._lost += 1
+        if len(self._buffered_lines) >= self._max_buffered_lines:
+            self._lost_lines += 1
             return
-        self._waiting.append(text.encode())
+        self._buffered_lines.append(text.encode())
         self.flush()
 
     def flush(self) -> None:
         """Write what the descriptor takes now."""
-        while self._waiting:
-            if not self._put(self._waiting[0]):
+        while self._buffered_lines:
+            if not self._write_line(self._buffered_lines[0]):
                 return
-            self._waiting.popleft()
-            if self._lost and not self._waiting:
-                lost, self._lost = self._lost, 0
-                self._waiting.append(b"level=warning event=log_lines_lost count=%d\n" % lost)
+            self._buffered_lines.popleft()
+            if self._lost_lines and not self._buffered_lines:
+                lost, self._lost_lines = self._lost_lines, 0
+                self._buffered_lines.append(b"level=warning event=log_lines_lost count=%d\n" % lost)
 
-    def _put(self, line: bytes) -> bool:
+    def _write_line(self, line: bytes) -> bool:
         try:
             written = os.write(self._descriptor, line)
         except BlockingIOError:
@@ -66,5 +66,5 @@
             return True
         if written == len(line):
             return True
-        self._waiting[0] = line[written:]
+        self._buffered_lines[0] = line[written:]
         return False
