--- a/reachlink/telemetry/__init__.py
+++ b/reachlink/telemetry/__init__.py
@@ -1,4 +1,4 @@
-"""Logs and metrics, and what logs tell afterwards."""
+"""Logging, metrics and the analysis of logs."""
 
 from reachlink.telemetry._logs import configure_logs, get_logger
 from reachlink.telemetry._losses import (
--- a/reachlink/telemetry/_logs.py
+++ b/reachlink/telemetry/_logs.py
@@ -1,4 +1,4 @@
-"""One key=value line for each event, on standard output."""
+"""Structured logging: one line of key=value pairs per event, on standard output."""
 
 import logging
 import sys
@@ -12,12 +12,13 @@
 
 
 def configure_logs(**context: str) -> None:
-    """Set up logging for this process.
+    """Configure logging for this process.
 
     Parameters
     ----------
     **context : str
-        Keys that every line of this process carries, such as its instance.
+        Key-value pairs added to every line of this process, such as the name of
+        its instance.
     """
     structlog.configure(
         processors=[
@@ -35,7 +36,11 @@
 
 
 def _make_output(stream: Any) -> Any:
-    """Return the stream itself where it has no descriptor, as under a test runner."""
+    """Return a `BoundedOutput` that writes to the descriptor of a stream.
+
+    A stream without a descriptor, such as the one of a test runner, is
+    returned itself.
+    """
     try:
         return BoundedOutput(stream.fileno())
     except (OSError, ValueError):
@@ -43,5 +48,5 @@
 
 
 def get_logger() -> Any:
-    """Return a logger whose methods take an event name and keys."""
+    """Return a logger whose methods take an event name and key-value pairs."""
     return structlog.get_logger()
--- a/reachlink/telemetry/_losses.py
+++ b/reachlink/telemetry/_losses.py
@@ -1,4 +1,4 @@
-"""Why requests were lost or late, from the logs of all instances; pure."""
+"""Causes of lost and late requests, derived from the logs of all instances; without I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class LossCause(Enum):
-    """Why a request was not answered in time."""
+    """Cause for which a request was not answered in time; the value is the text shown."""
 
     NO_ROOM = "no replica had room"
     QUEUE_FULL = "too many waited already"
@@ -27,7 +27,7 @@
 
 
 class LossGroup(StrEnum):
-    """By what losses are counted; the value is the name of the field."""
+    """Field of `Loss` by which losses are counted; the value is the name of the field."""
 
     ROUTE = "route"
     ZONE = "zone"
@@ -42,19 +42,19 @@
     Attributes
     ----------
     request_id : str
-        The request.
+        Identifier of the request.
     route : str
-        Its route.
+        Route of the request.
     cause : LossCause
-        Why.
+        Cause of the loss or delay.
     at : datetime
-        When it ended, by the clock of its instance.
+        Time at which the request ended, by the clock of its instance.
     zone : str
-        Availability zone of its instance.
+        Availability zone of the instance that handled the request.
     replica : str
-        Where it ran last; empty for none.
+        Replica where the request ran last; empty if it ran at none.
     workspace : str
-        Its workspace; empty where no line tells it.
+        Workspace of the request; empty if no log line names it.
     """
 
     request_id: str
@@ -66,19 +66,27 @@
     workspace: str = ""
 
     def group_key(self, group: LossGroup) -> str:
-        """Return the group that it counts in, such as its route."""
+        """Return the value by which the loss is grouped, such as its route."""
         return str(getattr(self, group.value))
 
 
 @dataclass(slots=True)
 class LossSummary:
-    """Losses, and how many streams came whole and in time, by route."""
+    """Lost and late requests, and numbers of streams that were complete and in time.
+
+    Attributes
+    ----------
+    losses : list of Loss
+        Requests that were lost or late.
+    in_time : dict of str to int
+        Number of streams that were complete and in time, by route.
+    """
 
     losses: list[Loss] = field(default_factory=list)
     in_time: dict[str, int] = field(default_factory=dict)
 
     def counts(self, by: LossGroup = LossGroup.ROUTE) -> dict[tuple[str, LossCause], int]:
-        """Return how many requests each cause took, by route or another group."""
+        """Return the number of losses by cause and by route or another field."""
         counts: dict[tuple[str, LossCause], int] = {}
         for loss in self.losses:
             key = loss.group_key(by), loss.cause
@@ -103,7 +111,8 @@
 }
 
 
-# What an instance tells when it has sent a request to a replica, or hears of it there.
+# Events whose ``replica`` is the one to which a request was sent, or where it resumed, broke
+# off or failed.
 _REPLICA_EVENTS = frozenset(
     {"generation_placed", "stream_joined", "stream_broken", "attempt_failed"}
 )
@@ -111,20 +120,21 @@
 
 @dataclass(slots=True)
 class _RequestHistory:
-    """What lines before its end tell of each request.
+    """State of requests and replicas, collected from log lines.
 
     Attributes
     ----------
-    homes : dict of str to str
-        Where it ran last, by request.
-    broken : dict of str to str
-        The replica whose stream broke off last, by request.
+    last_replicas : dict of str to str
+        Replica where the request ran last, by request.
+    broken_replicas : dict of str to str
+        Replica whose stream broke off last, by request.
     resume_events : dict of str to set of int
-        Events that were the first ones of another replica, by request.
+        Numbers of the events with which a stream resumed at another replica, by
+        request.
     workspaces : dict of str to str
-        Its workspace, by request.
-    leaving : set of str
-        Replicas that were told to leave.
+        Workspace of the request, by request.
+    leaving_replicas : set of str
+        Replicas that an instance reported as leaving.
     """
 
     last_replicas: dict[str, str] = field(default_factory=dict)
@@ -134,7 +144,7 @@
     leaving_replicas: set[str] = field(default_factory=set)
 
     def add_record(self, record: LogRecord) -> None:
-        """Take in one line."""
+        """Update the state from one log line."""
         request_id, replica = record.request_id, record.fields.get("replica", "")
         if record.event == "upstream_leaving":
             self.leaving_replicas.add(replica)
@@ -149,13 +159,13 @@
 
 
 def summarize_losses(records: Iterable[LogRecord]) -> LossSummary:
-    """Return what the logs of all entry instances tell of lost and late requests.
+    """Determine the lost and late requests from the logs of all entry instances.
 
     Parameters
     ----------
     records : iterable of LogRecord
-        In any order. Plain requests that were answered leave no line, so that
-        only streams are counted as in time.
+        Log records, in any order. Plain requests that were answered leave no
+        line, so only streams are counted as in time.
     """
     records = sorted(records, key=lambda record: record.at)
     history = _RequestHistory()
@@ -202,7 +212,7 @@
 
 
 def _cause_of_delay(record: LogRecord, history: _RequestHistory) -> LossCause | None:
-    """Return why a whole stream was late, or None where it was in time."""
+    """Return the cause for which a complete stream was late, or None if it was in time."""
     if record.number("first_event_ms") > record.number("objective_ms") > 0:
         return LossCause.LATE_FIRST_EVENT
     if not record.number("longest_pause_ms") > record.number("pause_goal_ms") > 0:
--- a/reachlink/telemetry/_metrics.py
+++ b/reachlink/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""OpenTelemetry metrics with a Prometheus page and optional OTLP export."""
+"""OpenTelemetry metrics, exposed in the Prometheus format and optionally exported by OTLP."""
 
 from collections.abc import Callable, Iterable
 from typing import Any
@@ -14,14 +14,16 @@
 
 
 class Metrics:
-    """Instruments of one process.
+    """Metric instruments of one process.
 
     Parameters
     ----------
     role, instance, availability_zone : str
-        Attributes of the resource that the metrics describe.
+        Role of the process, name of its instance and its availability zone; set
+        as attributes of the OpenTelemetry resource.
     otlp_endpoint : str, optional
-        URL to push to; empty for the Prometheus page alone.
+        URL to which metrics are pushed; if empty, they are only available from
+        `page`.
     """
 
     def __init__(
@@ -42,23 +44,23 @@
         self._meter = self._provider.get_meter("reachlink")
 
     def counter(self, name: str, unit: str, description: str) -> Any:
-        """Return a counter that only grows."""
+        """Return a new monotonic counter."""
         return self._meter.create_counter(name, unit=unit, description=description)
 
     def histogram(self, name: str, unit: str, description: str) -> Any:
-        """Return a histogram."""
+        """Return a new histogram."""
         return self._meter.create_histogram(name, unit=unit, description=description)
 
     def observed_counter(
         self, name: str, unit: str, description: str, read: Callable[[], int]
     ) -> None:
-        """Export a counter that something else keeps; `read` returns it."""
+        """Export a monotonic counter whose current value `read` returns."""
         self._meter.create_observable_counter(
             name, [lambda options: [Observation(read())]], unit=unit, description=description
         )
 
     def gauge(self, name: str, unit: str, description: str, read: Callable[[], float]) -> None:
-        """Export a value that something else keeps; `read` returns it."""
+        """Export a gauge whose current value `read` returns."""
         self._meter.create_observable_gauge(
             name, [lambda options: [Observation(read())]], unit=unit, description=description
         )
@@ -70,7 +72,7 @@
         description: str,
         read: Callable[[], Iterable[tuple[float, dict[str, str]]]],
     ) -> None:
-        """Export values that something else keeps; `read` returns each with its labels."""
+        """Export a gauge with labels; `read` returns each current value with its labels."""
         self._meter.create_observable_gauge(
             name,
             [lambda options: [Observation(value, labels) for value, labels in read()]],
@@ -79,16 +81,17 @@
         )
 
     def page(self) -> bytes:
-        """Return the metrics in the Prometheus text format."""
+        """Return the current metrics in the Prometheus text format."""
         return generate_latest(self._registry)
 
     def close(self) -> None:
-        """Export what is pending and stop."""
+        """Export pending metrics and shut down."""
         self._provider.shutdown()
 
 
 def _otlp_reader(endpoint: str) -> MetricReader:
-    # Imported here: the exporter costs some 10 MB that most processes never use.
+    # Imported on demand: the exporter takes about 10 MB of memory, and most processes do not
+    # use it.
     from opentelemetry.exporter.otlp.proto.http.metric_exporter import OTLPMetricExporter
 
     exporter = OTLPMetricExporter(endpoint=endpoint)
--- a/reachlink/telemetry/_output.py
+++ b/reachlink/telemetry/_output.py
@@ -1,27 +1,27 @@
-"""Where log lines go: standard output, never waiting for whoever reads it."""
+"""Non-blocking output of log lines with a bounded buffer."""
 
 import os
 import stat
 from collections import deque
 
-# Lines that wait while the reader does not read; at some 250 bytes a line,
-# half a megabyte.
+# Lines buffered while the reader does not read: half a megabyte at about 250 bytes a line.
 MAX_BUFFERED_LINES = 2000
 
 
 class BoundedOutput:
-    """A text stream that drops lines rather than wait.
+    """Text stream that drops lines instead of blocking the process.
 
-    What could not be written is kept, up to a bound, and goes out before the
-    next line. Lines beyond the bound are counted and told of once there is
-    room again.
+    Lines that cannot be written at once are buffered, up to a bound, and
+    written before the next line. Lines beyond the bound are dropped and
+    counted; a ``log_lines_lost`` event reports their number once the buffer
+    has been written.
 
     Parameters
     ----------
     descriptor : int
-        Where to write; a pipe is made non-blocking.
-    max_waiting : int
-        Lines that are kept.
+        File descriptor to write to; a pipe is set to non-blocking mode.
+    max_buffered_lines : int, optional
+        Largest number of buffered lines.
     """
 
     def __init__(self, descriptor: int, max_buffered_lines: int = MAX_BUFFERED_LINES) -> None:
@@ -34,11 +34,15 @@
 
     @property
     def lost_lines(self) -> int:
-        """Lines lost since the last time that this was told."""
+        """Number of lines dropped since the last ``log_lines_lost`` event."""
         return self._lost_lines
 
     def write(self, text: str) -> None:
-        """Take one whole line, with its newline."""
+        """Write one complete line, including its newline.
+
+        The line is buffered if it cannot be written at once, and dropped if the
+        buffer is full.
+        """
         self.flush()
         if len(self._buffered_lines) >= self._max_buffered_lines:
             self._lost_lines += 1
@@ -47,7 +51,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the descriptor takes now."""
+        """Write as many buffered lines as the descriptor accepts without blocking."""
         while self._buffered_lines:
             if not self._write_line(self._buffered_lines[0]):
                 return
@@ -62,7 +66,7 @@
         except BlockingIOError:
             return False
         except OSError:
-            # Nobody reads any more: there is no one to tell.
+            # Treated as written: without a reader, the loss of the line cannot be reported.
             return True
         if written == len(line):
             return True
--- a/reachlink/telemetry/_records.py
+++ b/reachlink/telemetry/_records.py
@@ -1,29 +1,29 @@
-"""Reading log lines back; pure."""
+"""Parsing of log lines, without I/O."""
 
 import re
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 from datetime import datetime
 
-# A pair of a line: a name, and a value that is quoted where it holds blanks. A name
-# alone is a flag that is set.
+# Key-value pair of a line. A value that contains spaces is quoted; a key without a value is
+# a flag that is set.
 _PAIR = re.compile(r"(\w+)(?:=(\"(?:[^\"\\]|\\.)*\"|\S*))?(?=\s|$)")
 
 
 @dataclass(slots=True, frozen=True)
 class LogRecord:
-    """One line of a log.
+    """One parsed log line.
 
     Attributes
     ----------
     at : datetime
-        When it was written, by the clock of its instance.
+        Time at which the line was written, by the clock of its instance.
     event : str
-        What happened.
+        Name of the event.
     fields : dict of str to str
-        All its pairs, those above included.
+        All key-value pairs of the line, including its timestamp and event.
     line : str
-        The line itself.
+        Text of the line, starting at its timestamp.
     """
 
     at: datetime
@@ -33,16 +33,19 @@
 
     @property
     def request_id(self) -> str:
-        """The request that it is about; empty for none."""
+        """Identifier of the request that the line belongs to; empty if there is none."""
         return self.fields.get("request_id", "")
 
     def number(self, name: str) -> float:
-        """Return a field as a number, 0 where it is missing."""
+        """Return a field as a number, or 0 if it is missing or empty."""
         return float(self.fields.get(name) or 0.0)
 
 
 def read_records(lines: Iterable[str]) -> Iterator[LogRecord]:
-    """Yield the records of a log, without lines that are none.
+    """Parse log lines and yield their records.
+
+    Text before the timestamp of a line is ignored, and so are lines without a
+    timestamp or an event.
 
     Examples
     --------
--- a/reachlink/telemetry/tests/test_losses.py
+++ b/reachlink/telemetry/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""The summary of losses, from lines as the entry instances write them."""
+"""Tests of the summary of losses, on log lines in the format of the entry instances."""
 
 from reachlink.telemetry import LossCause, LossGroup, read_records, summarize_losses
 
--- a/reachlink/telemetry/tests/test_output.py
+++ b/reachlink/telemetry/tests/test_output.py
@@ -1,4 +1,7 @@
-"""Log lines are bounded, whole, and never waited for."""
+"""Tests that log output does not block, and that written lines stay complete.
+
+A reader of the pipe that stops reading must not block the process that logs.
+"""
 
 import os
 
