--- a/reachlink/requests/_placement_query.py
+++ b/reachlink/requests/_placement_query.py
@@ -38,7 +38,7 @@
     DEPARTURE_COPY = "rescue"
 
 
-_TERMS = {
+_RULES = {
     PlacementPurpose.REQUEST: REQUEST_RULES,
     PlacementPurpose.STANDING_COPY: STANDING_COPY_RULES,
     PlacementPurpose.LOCAL_COPY: LOCAL_COPY_RULES,
@@ -108,7 +108,7 @@
     @property
     def terms(self) -> PlacementRules:
         """Conditions for the allocation of an engine's memory."""
-        return QUEUED_RULES if self.may_queue else _TERMS[self.purpose]
+        return QUEUED_RULES if self.may_queue else _RULES[self.purpose]
 
     def usage_at(self, replica: str) -> ReplicaUsage:
         """Return the usage to assume at the chosen replica until the instance reports its own."""
--- a/reachlink/scheduling/_placement_rules.py
+++ b/reachlink/scheduling/_placement_rules.py
@@ -70,7 +70,7 @@
     measure=MemoryMeasure.USED_AND_COPIES,
     max_pending_transfers=0,
 )
-# Losing a generation is the slow_factor outcome, so a departure copy may use any free memory, and
+# Losing a generation is the worst outcome, so a departure copy may use any free memory, and
 # standing copies are evicted for it.
 DEPARTURE_COPY_RULES = PlacementRules(
     memory_share=1.0, other_zone_margin=0.15, measure=MemoryMeasure.USED
