--- a/reachlink/agreement/_election.py
+++ b/reachlink/agreement/_election.py
@@ -25,11 +25,11 @@
     reject the pre-vote; if all replicas start together, one is elected without
     a full election timeout.
     """
-    free = state.leader_contact_at + state.timing.election_min_s
+    earliest = state.leader_contact_at + state.timing.election_min_s
     wait = state.random.uniform(
         state.timing.first_election_min_s, state.timing.first_election_max_s
     )
-    state.election_due = max(now, free) + wait
+    state.election_due = max(now, earliest) + wait
 
 
 def become_follower(state: ReplicaState, term: int, leader: str, now: float) -> None:
@@ -81,9 +81,9 @@
     if reply.term > state.term and not (reply.pre_vote and reply.granted):
         become_follower(state, reply.term, "", now)
         return
-    wanted = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
-    wanted_term = state.term + 1 if reply.pre_vote else state.term
-    if state.role is not wanted or reply.term != wanted_term or not reply.granted:
+    expected_role = Role.PRE_CANDIDATE if reply.pre_vote else Role.CANDIDATE
+    expected_term = state.term + 1 if reply.pre_vote else state.term
+    if state.role is not expected_role or reply.term != expected_term or not reply.granted:
         return
     state.votes.add(sender)
     _count_votes(state, now)
@@ -91,8 +91,8 @@
 
 def check_quorum(state: ReplicaState, now: float) -> None:
     """Step down if no majority replied within the maximum election timeout."""
-    heard = [p.last_reply_at for node, p in state.progress.items() if node in state.voters]
-    alive = sum(1 for at in heard if now - at < state.timing.election_max_s)
+    reply_times = [p.last_reply_at for node, p in state.progress.items() if node in state.voters]
+    alive = sum(1 for at in reply_times if now - at < state.timing.election_max_s)
     alive += 1 if state.is_voter else 0
     if alive < state.quorum():
         become_follower(state, state.term, "", now)
@@ -126,13 +126,13 @@
 def _may_grant(state: ReplicaState, request: VoteRequest, now: float) -> bool:
     if _has_leader_contact(state, now) or request.term < state.term:
         return False
-    mine = (state.log.last_term, state.log.last_index)
-    if (request.last_term, request.last_index) < mine:
+    own = (state.log.last_term, state.log.last_index)
+    if (request.last_term, request.last_index) < own:
         return False
     if request.pre_vote:
         return request.term > state.term
-    free = request.term > state.term or state.voted_for in ("", request.candidate)
-    return free
+    can_vote = request.term > state.term or state.voted_for in ("", request.candidate)
+    return can_vote
 
 
 def _request_votes(state: ReplicaState, now: float, term: int, pre_vote: bool) -> None:
--- a/reachlink/agreement/_files.py
+++ b/reachlink/agreement/_files.py
@@ -31,14 +31,14 @@
 
     def replace(self, path: Path, data: bytes) -> None:
         """Replace a file atomically and durably."""
-        draft = path.with_suffix(".tmp")
-        descriptor = os.open(draft, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        temporary = path.with_suffix(".tmp")
+        descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             self.write(descriptor, data)
             os.fsync(descriptor)
         finally:
             os.close(descriptor)
-        draft.rename(path)
+        temporary.rename(path)
         self.sync_folder(path.parent)
 
     def sync_folder(self, folder: Path) -> None:
--- a/reachlink/agreement/_membership_planner.py
+++ b/reachlink/agreement/_membership_planner.py
@@ -113,8 +113,10 @@
         if found is None or found.node_id != member.node_id:
             continue
         if found.availability_zone != member.availability_zone:
-            right = Member(member.node_id, member.address, found.availability_zone, member.voting)
-            return view.with_replaced(member, right)
+            corrected = Member(
+                member.node_id, member.address, found.availability_zone, member.voting
+            )
+            return view.with_replaced(member, corrected)
     return None
 
 
@@ -127,8 +129,13 @@
 
     def least_needed(member: Member) -> tuple[bool, float, int, str]:
         silent = view.silent_s(member)
-        steady = silent if silent > VOTER_SILENCE_TIMEOUT_S else 0.0
-        return (view.disk_lost(member), steady, zones[member.availability_zone], member.node_id)
+        long_silence = silent if silent > VOTER_SILENCE_TIMEOUT_S else 0.0
+        return (
+            view.disk_lost(member),
+            long_silence,
+            zones[member.availability_zone],
+            member.node_id,
+        )
 
     return view.with_replaced(max(others, key=least_needed), None)
 
--- a/reachlink/agreement/_service.py
+++ b/reachlink/agreement/_service.py
@@ -207,8 +207,8 @@
         while True:
             now = self._clock.monotonic()
             state = self._core.state
-            opened = state.commit >= state.term_start_index
-            if self._core.is_leader and opened and self._core.lease_expiry() > now:
+            term_committed = state.commit >= state.term_start_index
+            if self._core.is_leader and term_committed and self._core.lease_expiry() > now:
                 return state.commit
             if not self._core.is_leader or now > deadline:
                 raise NotLeaderError(state.leader)
@@ -234,11 +234,11 @@
         try:
             while True:
                 await self._step()
-                await self._wait()
+                await self._wait_for_work()
         finally:
             self._fail_all(ProposalLostError("this replica is stopping"))
 
-    async def _wait(self) -> None:
+    async def _wait_for_work(self) -> None:
         self._wakeup.clear()
         if self._inbox or self._waiting:
             return
--- a/reachlink/kernel/_counts.py
+++ b/reachlink/kernel/_counts.py
@@ -9,7 +9,7 @@
 
     Examples
     --------
-    >>> told_count(" 3000 "), told_count("-1"), told_count("9" * 400)
+    >>> parse_count(" 3000 "), parse_count("-1"), parse_count("9" * 400)
     (3000, None, None)
     """
     text = text.strip()
--- a/reachlink/messaging/_bus.py
+++ b/reachlink/messaging/_bus.py
@@ -261,11 +261,11 @@
             _complete_call(call, header.kind, body)
             return
         to = route[0] if route else None
-        task = self._loop.create_task(self._run(bus_socket, header, body, to))
+        task = self._loop.create_task(self._run_handler(bus_socket, header, body, to))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _run(
+    async def _run_handler(
         self, bus_socket: _BusSocket, header: _Header, body: bytes, to: bytes | None
     ) -> None:
         handler = self._handlers.get(header.channel)
