--- a/reachlink/upstreams/_base.py
+++ b/reachlink/upstreams/_base.py
@@ -269,7 +269,7 @@
 
     @abstractmethod
     async def order(self, replica: Replica, order: OrderRequest) -> OrderStatus:
-        """Send an order; a repetition has the same identifier."""
+        """Send an order, or resend it with the same identifier."""
 
     @abstractmethod
     async def orders(self, replica: Replica) -> list[OrderStatus]:
--- a/reachlink/upstreams/_chat_engine.py
+++ b/reachlink/upstreams/_chat_engine.py
@@ -189,7 +189,7 @@
         return [CacheChange(e.sequence, e.kind == "stored", e.block) for e in events]
 
     async def order(self, replica: Replica, order: OrderRequest) -> OrderStatus:
-        """Send an order; a repetition has the same identifier."""
+        """Send an order, or resend it with the same identifier."""
         body = msgspec.json.encode(order)
         async with self._client.control("POST", _url(replica, "orders"), body) as response:
             return _decode_order(await response.read())
--- a/reachlink/upstreams/_relay.py
+++ b/reachlink/upstreams/_relay.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MovedMemory:
-    """KV memory of a generation, held for a resume of the generation.
+    """KV memory of a generation, held at a replica until the generation resumes.
 
     Attributes
     ----------
@@ -80,7 +80,7 @@
         Whether the target has received the memory. If it has not, the generation can
         resume only at the source, and only if the source has stopped it.
     failure : MoveFailure
-        Reason of the failure; only meaningful if `arrived` is False.
+        Reason why the transfer failed; only meaningful if `arrived` is False.
     """
 
     memory: MovedMemory | None = None
--- a/reachlink/upstreams/tests/test_backoff_load.py
+++ b/reachlink/upstreams/tests/test_backoff_load.py
@@ -38,6 +38,6 @@
 
 
 def test_returning_calls_are_spread_if_all_backoffs_end_at_one_moment():
-    """The peak is 2.85 times the capacity of a replica at the exact end, 2.1 times if spread."""
+    """The peak at a replica is 2.85 times its capacity without spreading, 2.1 times with it."""
     load = BackoffLoad(65, 28, 28, one_moment=True)
     assert play(load, BackoffTracker, 0).peak < play(load, ExactBackoffs, 0).peak
