--- a/reachlink/settings/_paths.py
+++ b/reachlink/settings/_paths.py
@@ -17,7 +17,8 @@
 class Scope(Enum):
     """Level of the tree at which a value is set.
 
-    Each value is the pattern of the paths of that level.
+    Each value is the pattern with which the paths of that level start. A site is
+    an availability zone.
     """
 
     DEFAULTS = "defaults"
--- a/reachlink/settings/_tree.py
+++ b/reachlink/settings/_tree.py
@@ -131,7 +131,8 @@
         Parameters
         ----------
         service, workspace, site : str
-            Names to resolve for; the levels of an empty name are skipped.
+            Names to resolve for; a site is an availability zone. The levels of an
+            empty name are skipped.
         name : str
             Name of the setting, such as ``limits.concurrent``.
 
