--- a/reachlink/entry/_follower.py
+++ b/reachlink/entry/_follower.py
@@ -181,7 +181,7 @@
             fresh=not node.ready and not fetching,
             address=node.address,
             availability_zone=node.zone,
-            whole=bool(node.settings.misfit),
+            whole=bool(node.settings.patch_error),
             progress=self._inbox.progress,
         )
 
@@ -219,12 +219,12 @@
                 bytes=answer.piece.size if answer.piece else 0,
             )
             await node.on_settings()
-        elif node.settings.misfit:
+        elif node.settings.patch_error:
             node.log.warning(
                 "settings_misfit",
                 held=node.tree.revision,
                 offered=content.revision,
-                reason=node.settings.misfit,
+                reason=node.settings.patch_error,
             )
 
     def _become_ready(self, how: str) -> None:
--- a/reachlink/entry/_peer_settings.py
+++ b/reachlink/entry/_peer_settings.py
@@ -97,7 +97,7 @@
 
     async def _ask(self, address: str, progress: Progress) -> SettingsAnswer | None:
         node = self._node
-        revision, whole = node.settings.tree.revision, bool(node.settings.misfit)
+        revision, whole = node.settings.tree.revision, bool(node.settings.patch_error)
         request = WatchRequest(node.name, revision, 0.0, whole=whole, progress=progress)
         try:
             raw = await node.bus.call(address, CHANNEL_SETTINGS, encode(request), PEER_TIMEOUT_S)
--- a/reachlink/membership/_directory.py
+++ b/reachlink/membership/_directory.py
@@ -18,10 +18,10 @@
 # that, the mark was wrong or the instance has come back.
 UNCONFIRMED_MARK_S = 30.0
 # Time in seconds for which an instance is remembered after it left the list.
-GONE_KEPT_S = 60.0
+ABSENT_RETENTION_S = 60.0
 # Time in seconds for which an instance reported by a peer counts as listed although the
 # list read here lacks it: that list may have been requested before the peer's.
-HEARD_KEPT_S = 1.0
+PEER_REPORT_VALID_S = 1.0
 # Time in seconds for which the instances of a zone that returns to service count as cold,
 # whatever the list says. The list lags by 0.8 s and each of many readers polls it every
 # 3 s, so after this time all readers know of instances that became cold just before.
@@ -39,9 +39,9 @@
     REPLACED = "another one at its address"
 
 
-_OWN_WORD = frozenset({LeavingSource.REFUSAL, LeavingSource.ANSWER})
+_EXPLICIT_SOURCES = frozenset({LeavingSource.REFUSAL, LeavingSource.ANSWER})
 # Sources that are not replaced by a statement of the instance itself.
-_FIRM = frozenset({LeavingSource.ANSWER, LeavingSource.REPLACED})
+_FINAL_SOURCES = frozenset({LeavingSource.ANSWER, LeavingSource.REPLACED})
 
 
 @dataclass(slots=True)
@@ -62,7 +62,7 @@
         Whether the last list lacked the instance.
     gone_at : float
         Time at which a list first lacked the instance.
-    heard_at : float
+    peer_reported_at : float
         Time at which a peer's report added the instance.
     noticed_at : float
         Time at which the instance was last found to be leaving, from any source.
@@ -78,7 +78,7 @@
     marked_at: float = 0.0
     gone: bool = False
     gone_at: float = 0.0
-    heard_at: float = float("-inf")
+    peer_reported_at: float = float("-inf")
     noticed_at: float = float("-inf")
     cold_until: float = float("-inf")
     born: int = 0
@@ -165,7 +165,7 @@
             entry = self._entries.get(instance.name)
             if entry is None:
                 self._update_one(instance, now)
-                self._entries[instance.name].heard_at = now
+                self._entries[instance.name].peer_reported_at = now
                 self._live.clear()
                 continue
             _note_cold(entry, instance.cold_s, now)
@@ -188,7 +188,7 @@
         if entry is None:
             return False
         if entry.marked is not None:
-            if source in _OWN_WORD and entry.marked not in _FIRM:
+            if source in _EXPLICIT_SOURCES and entry.marked not in _FINAL_SOURCES:
                 # A statement of the instance itself replaces an inferred mark.
                 entry.marked = source
             return False
@@ -347,7 +347,7 @@
         turned_cold = _note_cold(entry, instance.cold_s, now)
         came_back = _came_back(entry)
         unconfirmed = entry.marked is not None and now - entry.marked_at > self._unconfirmed_mark_s
-        taken_back = (came_back or unconfirmed) and not _marked_for_good(entry)
+        taken_back = (came_back or unconfirmed) and not _mark_needs_restart(entry)
         if instance.state is InstanceState.LIVE and taken_back:
             entry.marked = None
         left = instance.state is InstanceState.LEAVING and entry.listed is InstanceState.LIVE
@@ -358,13 +358,13 @@
         return left or turned_cold
 
     def _note_absence(self, name: str, entry: _Entry, gone: bool, now: float) -> None:
-        """Record whether the list lacks an instance; forget the instance after `GONE_KEPT_S`."""
-        if gone and now - entry.heard_at < HEARD_KEPT_S:
+        """Record whether the list lacks an instance; forget one that is absent for long."""
+        if gone and now - entry.peer_reported_at < PEER_REPORT_VALID_S:
             return
         if gone and not entry.gone:
             entry.gone_at = now
         entry.gone = gone
-        if gone and now - entry.gone_at > GONE_KEPT_S:
+        if gone and now - entry.gone_at > ABSENT_RETENTION_S:
             del self._entries[name]
 
 
@@ -377,7 +377,7 @@
     return entry.gone or entry.listed is InstanceState.LEAVING
 
 
-def _marked_for_good(entry: _Entry) -> bool:
+def _mark_needs_restart(entry: _Entry) -> bool:
     """Return whether only a restart clears the leaving mark of an instance.
 
     For an instance without a start time, a list that shows it as live again after a list
--- a/reachlink/membership/_roster.py
+++ b/reachlink/membership/_roster.py
@@ -11,13 +11,13 @@
 
 # Time in seconds without a watch request at any control instance after which an instance
 # counts as absent. Instances repeat their watch requests about once a second.
-ABSENT_S = 4.0
+ABSENCE_TIMEOUT_S = 4.0
 # The same timeout in seconds if the control instance that reported the entry instance is
 # silent itself; longer than most network partitions. Its watchers are more likely behind a
 # partition than stopped: if only the control instance has stopped, they watch another one
 # within seconds. With the shorter timeout, the instances of a zone that is cut off would
 # form a fleet of their own and treat the zones as connected.
-TELLER_SILENT_KEPT_S = 30.0
+SILENT_REPORTER_TIMEOUT_S = 30.0
 # Time in seconds for which the list of coordinators is cached while no new instance
 # appears: every watch request reads it, dozens a second at a control instance that serves
 # a hundred instances.
@@ -43,12 +43,12 @@
 
 
 @dataclass(slots=True)
-class _Heard:
+class _Report:
     """Last report of an instance: its time and the control instance that sent it."""
 
     record: InstanceRecord
     at: float
-    teller: str
+    reporter: str
 
 
 @dataclass(slots=True, frozen=True)
@@ -80,12 +80,12 @@
 
     def __init__(self, limits: CoordinationLimits | None = None) -> None:
         self._limits = limits or CoordinationLimits()
-        self._heard: dict[str, _Heard] = {}
+        self._heard: dict[str, _Report] = {}
         # Time of the last report of each control instance; monotonic, in seconds.
-        self._told_at: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
         self._summary: _Summary | None = None
 
-    def note(self, records: Iterable[InstanceRecord], now: float, teller: str = "") -> None:
+    def note(self, records: Iterable[InstanceRecord], now: float, reporter: str = "") -> None:
         """Record instances that were reported just now.
 
         Parameters
@@ -94,15 +94,15 @@
             Instances that exist.
         now : float
             Monotonic time in seconds.
-        teller : str
+        reporter : str
             Name of the control instance that reported them; empty if they sent watch
             requests to this one.
         """
-        self._told_at[teller] = now
+        self._reported_at[reporter] = now
         for record in records:
             if record.name not in self._heard:
                 self._summary = None
-            self._heard[record.name] = _Heard(record, now, teller)
+            self._heard[record.name] = _Report(record, now, reporter)
 
     def present(self, now: float) -> list[InstanceRecord]:
         """Return the instances that are present, sorted by name."""
@@ -110,9 +110,11 @@
             del self._heard[name]
         return [self._heard[name].record for name in sorted(self._heard)]
 
-    def _is_absent(self, heard: _Heard, now: float) -> bool:
-        teller_silent = bool(heard.teller) and now - self._told_at[heard.teller] > ABSENT_S
-        kept_s = TELLER_SILENT_KEPT_S if teller_silent else ABSENT_S
+    def _is_absent(self, heard: _Report, now: float) -> bool:
+        is_silent = (
+            bool(heard.reporter) and now - self._reported_at[heard.reporter] > ABSENCE_TIMEOUT_S
+        )
+        kept_s = SILENT_REPORTER_TIMEOUT_S if is_silent else ABSENCE_TIMEOUT_S
         return now - heard.at > kept_s
 
     def coordinators(self, now: float) -> list[InstanceRecord]:
--- a/reachlink/membership/_spreading.py
+++ b/reachlink/membership/_spreading.py
@@ -205,12 +205,12 @@
     def __init__(self) -> None:
         self._tree = SettingsTree()
         self._deltas: deque[Delta] = deque(maxlen=REMEMBERED_DELTAS)
-        self._misfit = ""
+        self._patch_error = ""
 
     @property
-    def misfit(self) -> str:
+    def patch_error(self) -> str:
         """Reason why a delta did not apply, so that all values are needed, or ``""``."""
-        return self._misfit
+        return self._patch_error
 
     @property
     def tree(self) -> SettingsTree:
@@ -227,7 +227,7 @@
         if answer.values is not None:
             self._tree = SettingsTree(answer.values, answer.revision)
             self._deltas.clear()
-            self._misfit = ""
+            self._patch_error = ""
             return True
         fitting = [d for d in answer.deltas if d.revision > self._tree.revision]
         expected = list(range(self._tree.revision + 1, answer.revision + 1))
@@ -237,7 +237,7 @@
             self._tree = apply_deltas(self._tree, fitting)
         except PatchMismatchError as error:
             # Logged by the caller: this module does no I/O.
-            self._misfit = str(error)
+            self._patch_error = str(error)
             return False
         for delta in fitting:
             remember_delta(self._deltas, delta, table_size(self._tree))
--- a/reachlink/membership/tests/test_roster.py
+++ b/reachlink/membership/tests/test_roster.py
@@ -52,7 +52,7 @@
     for now in (0.0, 1.0, 2.0, 3.0, 4.0, 5.0, 6.0):
         roster.note([record("e1")], now)
         if now <= 1.0:
-            roster.note([record("f1", "b"), record("f2", "b")], now, teller="c2")
+            roster.note([record("f1", "b"), record("f2", "b")], now, reporter="c2")
     assert [r.name for r in roster.present(6.0)] == ["e1", "f1", "f2"]
     roster.note([record("e1")], 40.0)
     assert [r.name for r in roster.present(40.0)] == ["e1"]
@@ -60,16 +60,16 @@
 
 def test_instance_no_longer_reported_by_active_reporter_is_absent():
     roster = Roster()
-    roster.note([record("f1", "b"), record("f2", "b")], 0.0, teller="c2")
+    roster.note([record("f1", "b"), record("f2", "b")], 0.0, reporter="c2")
     for now in (1.0, 2.0, 3.0, 4.0, 5.0):
-        roster.note([record("f1", "b")], now, teller="c2")
+        roster.note([record("f1", "b")], now, reporter="c2")
     assert [r.name for r in roster.present(5.0)] == ["f1"]
 
 
 def test_coordinators_stay_the_same_during_partition():
     roster = Roster()
     near = [record(f"e{i:02d}", "a") for i in range(20)]
-    roster.note([record(f"f{i:02d}", "bc"[i % 2]) for i in range(40)], 0.0, teller="c2")
+    roster.note([record(f"f{i:02d}", "bc"[i % 2]) for i in range(40)], 0.0, reporter="c2")
     roster.note(near, 0.0)
     before = roster.coordinators(0.0)
     roster.note(near, 8.0)
--- a/reachlink/membership/tests/test_transfers.py
+++ b/reachlink/membership/tests/test_transfers.py
@@ -91,12 +91,12 @@
     holder = holder_of(held, 1)
     patch = patch_between(table(1, '{"a":1}'), wanted)
     offer = SettingsAnswer(2, True, [Delta(2, table=patch)])
-    assert not holder.take(offer) and bool(holder.misfit)
+    assert not holder.take(offer) and bool(holder.patch_error)
     assert holder.tree.routing == held
     source = holder_of(wanted, 2)
-    holding = Holding(1, bool(holder.misfit))
+    holding = Holding(1, bool(holder.patch_error))
     answer = pack_answer(Outbox(), SettingsAnswer(2, True), holding, source.since)
-    assert holder.take(unpack_answer(Inbox(), answer)) and not bool(holder.misfit)
+    assert holder.take(unpack_answer(Inbox(), answer)) and not bool(holder.patch_error)
     assert holder.tree.routing == wanted
 
 
@@ -112,7 +112,7 @@
         return ",".join(f'{{"r":"{random.randrange(20)}"}}' for _ in range(size))
 
     def ask(reader: SettingsHolder) -> None:
-        holding = Holding(reader.tree.revision, bool(reader.misfit))
+        holding = Holding(reader.tree.revision, bool(reader.patch_error))
         head = SettingsAnswer(source.tree.revision, True)
         before = reader.tree.revision
         answer = unpack_answer(Inbox(), pack_answer(outbox, head, holding, source.since))
--- a/reachlink/quarantine/__init__.py
+++ b/reachlink/quarantine/__init__.py
@@ -7,7 +7,7 @@
 those that were at the crashed replicas.
 """
 
-from reachlink.quarantine._crash_watch import BrokenRun, CrashWatch, Touch
+from reachlink.quarantine._crash_watch import BrokenRun, CrashWatch, Probe
 from reachlink.quarantine._fingerprint import (
     Fingerprinter,
     fingerprint_of,
@@ -56,7 +56,7 @@
     "QuarantineError",
     "QuarantineNote",
     "ReleaseOrder",
-    "Touch",
+    "Probe",
     "Verdict",
     "crashes_of",
     "fingerprint_of",
--- a/reachlink/quarantine/_crash_watch.py
+++ b/reachlink/quarantine/_crash_watch.py
@@ -13,9 +13,9 @@
 # Time in seconds after the end of a connection during which a restart of its replica
 # counts as a crash. It is longer than a replica takes to come back after a crash: an
 # instance that was suspended in the meantime finds the replica up again.
-UNDECIDED_S = 5.0
+RESTART_WINDOW_S = 5.0
 
-Touch = Callable[[Replica], Awaitable[object]]
+Probe = Callable[[Replica], Awaitable[object]]
 """Sends a small request to a replica; raises an `UpstreamError` if there is no answer."""
 
 
@@ -55,7 +55,7 @@
 
     Parameters
     ----------
-    touch : callable
+    probe : callable
         Sends a small request to a replica; raises an `UpstreamError` if there is no answer.
     on_crash : callable
         Called with each run whose replica has crashed.
@@ -65,25 +65,25 @@
 
     def __init__(
         self,
-        touch: Touch,
+        probe: Probe,
         on_crash: Callable[[BrokenRun], None],
         clock: Callable[[], float] = steady_time,
     ) -> None:
-        self._touch = touch
+        self._probe = probe
         self._on_crash = on_crash
         self._clock = clock
         # Running checks by fingerprint of the request.
-        self._under_way: dict[int, set[asyncio.Task[None]]] = {}
+        self._running_checks: dict[int, set[asyncio.Task[None]]] = {}
         # Broken runs whose replica answered or was unreachable, by name of the replica.
         self._undecided: dict[str, list[BrokenRun]] = {}
         # Running probes by replica: all runs that ended with one replica share a probe.
-        self._looks: dict[str, asyncio.Task[Liveness]] = {}
+        self._probes: dict[str, asyncio.Task[Liveness]] = {}
         self._log: Any = get_logger()
 
     def on_broken(self, run: BrokenRun) -> None:
         """Check in the background whether the replica of a broken run has crashed."""
-        task = asyncio.create_task(self._find_out(run))
-        tasks = self._under_way.setdefault(run.fingerprint, set())
+        task = asyncio.create_task(self._check(run))
+        tasks = self._running_checks.setdefault(run.fingerprint, set())
         tasks.add(task)
         task.add_done_callback(lambda done: self._end(run.fingerprint, done))
 
@@ -97,18 +97,18 @@
         timeout_s : float
             Maximum wait in seconds.
         """
-        tasks = self._under_way.get(fingerprint)
+        tasks = self._running_checks.get(fingerprint)
         if tasks:
             await asyncio.wait(set(tasks), timeout=timeout_s)
 
     def _end(self, fingerprint: int, done: asyncio.Task[None]) -> None:
-        tasks = self._under_way[fingerprint]
+        tasks = self._running_checks[fingerprint]
         tasks.discard(done)
         if not tasks:
-            del self._under_way[fingerprint]
+            del self._running_checks[fingerprint]
 
-    async def _find_out(self, run: BrokenRun) -> None:
-        found = await self._look(run.replica)
+    async def _check(self, run: BrokenRun) -> None:
+        found = await self._probe_shared(run.replica)
         self._log.info(
             "run_broken",
             request_id=run.request_id,
@@ -126,13 +126,13 @@
 
     def on_replica_restarted(self, replica: str) -> None:
         """Count recent broken runs of a replica as crashes, since the replica has restarted."""
-        since = self._clock() - UNDECIDED_S
+        since = self._clock() - RESTART_WINDOW_S
         for run in self._undecided.pop(replica, ()):
             if run.broken_at >= since:
                 self._on_crash(run)
 
     def _keep_undecided(self, run: BrokenRun) -> None:
-        since = self._clock() - UNDECIDED_S
+        since = self._clock() - RESTART_WINDOW_S
         kept = {
             name: [one for one in runs if one.broken_at >= since]
             for name, runs in self._undecided.items()
@@ -140,10 +140,10 @@
         self._undecided = {name: runs for name, runs in kept.items() if runs}
         self._undecided.setdefault(run.replica.name, []).append(run)
 
-    async def _look(self, replica: Replica) -> Liveness:
-        look = self._looks.get(replica.name)
-        if look is None:
-            look = asyncio.create_task(probe_repeatedly(lambda: self._touch(replica)))
-            self._looks[replica.name] = look
-            look.add_done_callback(lambda _: self._looks.pop(replica.name, None))
-        return await asyncio.shield(look)
+    async def _probe_shared(self, replica: Replica) -> Liveness:
+        probe = self._probes.get(replica.name)
+        if probe is None:
+            probe = asyncio.create_task(probe_repeatedly(lambda: self._probe(replica)))
+            self._probes[replica.name] = probe
+            probe.add_done_callback(lambda _: self._probes.pop(replica.name, None))
+        return await asyncio.shield(probe)
--- a/reachlink/quarantine/_guard.py
+++ b/reachlink/quarantine/_guard.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from reachlink.kernel import steady_time
-from reachlink.quarantine._crash_watch import BrokenRun, CrashWatch, Touch
+from reachlink.quarantine._crash_watch import BrokenRun, CrashWatch, Probe
 from reachlink.quarantine._fingerprint import fingerprint_text
 from reachlink.quarantine._judging import Verdict
 from reachlink.quarantine._quarantine import Quarantine
@@ -14,10 +14,10 @@
 from reachlink.telemetry import get_logger
 
 # Maximum number of replicas named in a log line.
-SHOWN = 8
+MAX_LOGGED_REPLICAS = 8
 # Maximum time in seconds for which a suspect request waits for running crash checks. Three
 # probes of a replica that is up take 0.2 s, one probe of a closed port some milliseconds.
-SETTLED_S = 0.25
+MAX_SETTLE_WAIT_S = 0.25
 
 
 class CrashGuard:
@@ -30,7 +30,7 @@
     ----------
     quarantine : Quarantine
         Known crashes and the requests that are held for them.
-    touch : callable
+    probe : callable
         Sends a small request to a replica; raises an `UpstreamError` if there is no answer.
     clock : callable
         Returns the monotonic time in seconds.
@@ -39,12 +39,12 @@
     def __init__(
         self,
         quarantine: Quarantine,
-        touch: Touch,
+        probe: Probe,
         clock: Callable[[], float] = steady_time,
     ) -> None:
         self._quarantine = quarantine
         self._clock = clock
-        self._watch = CrashWatch(touch, self._on_crash, clock)
+        self._watch = CrashWatch(probe, self._on_crash, clock)
         # Callbacks that stop the requests in progress, by fingerprint.
         self._stops: dict[int, set[Callable[[], None]]] = {}
         # Fingerprints of the held requests that were logged.
@@ -65,7 +65,7 @@
             If the request is held because it crashes replicas.
         """
         if self._quarantine.is_suspect(fingerprint):
-            await self._watch.settle(fingerprint, SETTLED_S)
+            await self._watch.settle(fingerprint, MAX_SETTLE_WAIT_S)
         self.check(fingerprint, request_id)
 
     def check(self, fingerprint: int, request_id: str) -> None:
@@ -174,5 +174,5 @@
             crashes=len(verdict.crashes),
             last_crash_s_ago=round(now - verdict.last_at, 3),
             first_crash_s_ago=round(now - verdict.first_at, 3),
-            replicas=",".join(crash.replica for crash in verdict.crashes[:SHOWN]),
+            replicas=",".join(crash.replica for crash in verdict.crashes[:MAX_LOGGED_REPLICAS]),
         )
