--- a/reachlink/agreement/_replication.py
+++ b/reachlink/agreement/_replication.py
@@ -11,6 +11,7 @@
 from reachlink.agreement._state import Progress, ReplicaState
 
 MAX_ENTRIES_PER_REQUEST = 256
+# Minimum interval between two sendings of a snapshot to the same follower, in seconds.
 SNAPSHOT_RETRY_S = 2.0
 
 
--- a/reachlink/agreement/_service.py
+++ b/reachlink/agreement/_service.py
@@ -24,13 +24,16 @@
 from reachlink.kernel import Clock
 from reachlink.telemetry import get_logger
 
-SNAPSHOT_ENTRIES = 400
+# Applied entries from which a log that is at least as large as its snapshot is compacted.
+MIN_SNAPSHOT_ENTRIES = 400
+# Applied entries from which a log is compacted even if it is smaller than its snapshot.
 MAX_LOG_ENTRIES = 20_000
 # A log above this size in bytes is compacted whatever its number of entries: large
 # commands would otherwise exhaust memory before the entry limit is reached.
 MAX_LOG_BYTES = 4 << 20
 # Framing overhead of an entry on disk, in bytes.
 ENTRY_OVERHEAD_BYTES = 24
+# Interval between checks of a commit, a lease or an applied entry, in seconds.
 POLL_INTERVAL_S = 0.01
 # Interval between retries of a write while the disk is full, in seconds.
 DISK_FULL_RETRY_INTERVAL_S = 0.2
@@ -351,7 +354,7 @@
         entries = self._applied - log.snapshot_index
         # The cost of a snapshot grows with its size: compact only once the log is as large.
         large = self._log_bytes >= len(self._snapshot)
-        due = entries >= SNAPSHOT_ENTRIES and (large or entries >= MAX_LOG_ENTRIES)
+        due = entries >= MIN_SNAPSHOT_ENTRIES and (large or entries >= MAX_LOG_ENTRIES)
         if not due and self._log_bytes < MAX_LOG_BYTES:
             return
         if not entries:
