--- a/reachlink/agreement/_service.py
+++ b/reachlink/agreement/_service.py
@@ -239,7 +239,7 @@
                 await self._step()
                 await self._wait_for_work()
         finally:
-            self._fail_all(ProposalLostError("this replica is stopping"))
+            self._fail_all(ProposalLostError("this replica stops"))
 
     async def _wait_for_work(self) -> None:
         self._wakeup.clear()
@@ -345,7 +345,7 @@
         if proposal is None:
             return
         if proposal.term != entry.term:
-            _fail(proposal, ProposalLostError("an entry of another leader replaced it"))
+            _fail(proposal, ProposalLostError("another leader's entry took its place"))
         elif not proposal.future.done():
             proposal.future.set_result(result)
 
