--- a/reachlink/agreement/_core.py
+++ b/reachlink/agreement/_core.py
@@ -223,7 +223,7 @@
         progress = state.progress.get(node)
         if progress is None:
             return False
-        # Not the time of the last reply, which a new leader initializes to its election.
+        # Not the time of the last reply: a new leader sets that to the time of its election.
         return now - progress.acked_sent_at < state.timing.election_max_s
 
     def _check_promoted_caught_up(
--- a/reachlink/agreement/_storage.py
+++ b/reachlink/agreement/_storage.py
@@ -146,8 +146,10 @@
         ----------
         snapshot : SnapshotRecord
             Snapshot to write.
-        term, voted_for
-            Hard state, written at the start of the new segment.
+        term : int
+            Current term, written at the start of the new segment.
+        voted_for : str
+            Candidate voted for in that term, written with it; empty if none.
         rest : list of Entry
             Entries after the snapshot.
         """
--- a/reachlink/delivery/_stream.py
+++ b/reachlink/delivery/_stream.py
@@ -67,6 +67,20 @@
         replaced until then.
     max_resumes : int
         Maximum number of consecutive resumes without a new token.
+    generation : str
+        Id of the generation from which events are accepted; empty if there is none.
+    next_offset : int
+        Offset of the next event to forward.
+    finished : bool
+        Whether the final event has arrived.
+    forwarded : int
+        Number of events forwarded, or received by the caller before `start_at`.
+    repeats, foreign : int
+        Numbers of ignored events: repeated ones, and those of another request or generation.
+    gaps : int
+        Number of batches with missing events.
+    last_break : str
+        Reason of the last break of the connection or loss of the generation.
     """
 
     request_id: str
--- a/reachlink/quarantine/_judging.py
+++ b/reachlink/quarantine/_judging.py
@@ -106,7 +106,7 @@
 ) -> dict[int, Verdict]:
     """Return the requests to hold, by fingerprint.
 
-    A crash ends all requests at a replica, ten and more, of which one caused it. The
+    A crash ends all requests at a replica, ten or more, and one of them caused it. The
     request with the largest total weight is held first. The crashes that it explains then
     count against no other request, so that a request that only shared replicas with it is
     not held.
--- a/reachlink/quarantine/_quarantine.py
+++ b/reachlink/quarantine/_quarantine.py
@@ -1,4 +1,4 @@
-"""Crashes known to one instance, its own findings and those of peers; does no I/O."""
+"""Crashes known to one instance, detected by itself or by peers; does no I/O."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -11,7 +11,7 @@
 # Time in seconds for which a crash counts. A crash has its cause in the weights or the
 # program of the replica, which does not change within minutes, and each crash ends all
 # requests at the replica. An hour after its first crash, a held request gets one more
-# attempt; one crash holds it again.
+# attempt; a further crash holds it again.
 CRASH_RETENTION_S = 3600.0
 # Time in seconds for which a new note is repeated to peers. Several messages carry it, so
 # that one of them may be lost; further losses are detected by differing digests.
@@ -65,7 +65,7 @@
         self._crashes_to_hold = crashes_to_hold
         self._kept_s = kept_s
         self._involvements: dict[int, Involvement] = {}
-        # Ids of crash notes by request; read at the end of every answer.
+        # Ids of crash notes by fingerprint; read at the end of every answer.
         self._against: dict[int, set[int]] = {}
         # Times and ids of recent notes, and the digest of all notes; both are read for
         # every message to peers.
--- a/reachlink/quarantine/tests/test_guard.py
+++ b/reachlink/quarantine/tests/test_guard.py
@@ -1,4 +1,4 @@
-"""Tests of the crash guard: which broken connections count as crashes, what is stopped."""
+"""Tests of the crash guard: broken connections that count as crashes, requests it stops."""
 
 import asyncio
 from random import Random
@@ -71,7 +71,7 @@
 
 
 def test_restart_of_replica_that_answered_the_probe_is_a_crash():
-    """The probe came too late: the replica was up again, as its start time shows later."""
+    """The replica restarted before the probe; its start time, known later, shows the crash."""
     quarantine = Quarantine(Random(1), crashes_to_hold=1.0)
     now = [1.0]
 
@@ -89,7 +89,7 @@
 
 
 def test_suspect_request_waits_for_running_crash_check():
-    """Its third replica may just have crashed: sent at once, it would crash a fourth."""
+    """Without the wait, a request whose third replica has just crashed could crash a fourth."""
     quarantine = Quarantine(Random(1))
     for at in (1.0, 2.0):
         quarantine.note_crash(GUILTY, f"r{at}", at - 0.1, at, False, at)
--- a/reachlink/upstreams/_loads.py
+++ b/reachlink/upstreams/_loads.py
@@ -46,7 +46,9 @@
         return self._unreadable_count
 
     def decode(self, text: str | None, replica: str) -> LoadSample | None:
-        """Return the load in a header field; None if it has none.
+        """Return the load in a header field.
+
+        None if the field is missing, has fewer than three values or its first one is invalid.
 
         Parameters
         ----------
