--- a/reachlink/delivery/_stream.py
+++ b/reachlink/delivery/_stream.py
@@ -136,7 +136,7 @@
                 ready.append(event)
                 self.next_offset += 1
                 self.finished = event.final
-        return self._after(ready, gap)
+        return self._steps_for(ready, gap)
 
     def on_broken(self, reason: str) -> list[Step]:
         """Handle a connection that stalled, broke or ended early."""
@@ -163,7 +163,7 @@
         self.foreign += 1
         return False
 
-    def _after(self, ready: list[TokenEvent], gap: bool) -> list[Step]:
+    def _steps_for(self, ready: list[TokenEvent], gap: bool) -> list[Step]:
         steps: list[Step] = []
         if ready:
             self._resumes = 0
--- a/reachlink/quarantine/_judging.py
+++ b/reachlink/quarantine/_judging.py
@@ -92,12 +92,12 @@
     """
     found: list[Crash] = []
     latest: dict[str, Crash] = {}
-    for one in sorted(involvements, key=lambda i: i.crashed_at):
-        crash = latest.get(one.replica)
-        if crash is None or one.sent_at > crash.at:
-            crash = latest[one.replica] = Crash(one.replica, one.crashed_at)
+    for involvement in sorted(involvements, key=lambda i: i.crashed_at):
+        crash = latest.get(involvement.replica)
+        if crash is None or involvement.sent_at > crash.at:
+            crash = latest[involvement.replica] = Crash(involvement.replica, involvement.crashed_at)
             found.append(crash)
-        crash.add(one)
+        crash.add(involvement)
     return found
 
 
@@ -119,24 +119,26 @@
         Total weight of crashes at which a request is held.
     """
     crashes = crashes_of(involvements)
-    its_own: dict[int, list[Crash]] = {}
-    against: dict[int, float] = {}
+    crashes_by_request: dict[int, list[Crash]] = {}
+    total_weights: dict[int, float] = {}
     for crash in crashes:
         for fingerprint, weight in crash.weights.items():
-            its_own.setdefault(fingerprint, []).append(crash)
-            against[fingerprint] = against.get(fingerprint, 0.0) + weight
-    suspects = {f for f, weight in against.items() if weight >= crashes_to_hold}
+            crashes_by_request.setdefault(fingerprint, []).append(crash)
+            total_weights[fingerprint] = total_weights.get(fingerprint, 0.0) + weight
+    suspects = {f for f, weight in total_weights.items() if weight >= crashes_to_hold}
     explained: set[int] = set()
     held: dict[int, Verdict] = {}
     while suspects:
         # Ties go to the smaller fingerprint, so that all instances decide alike.
-        worst = max(suspects, key=lambda f: (against[f], -f))
-        shown = [crash for crash in its_own[worst] if id(crash) not in explained]
-        held[worst] = Verdict(worst, tuple(shown))
+        worst = max(suspects, key=lambda f: (total_weights[f], -f))
+        newly_explained = [
+            crash for crash in crashes_by_request[worst] if id(crash) not in explained
+        ]
+        held[worst] = Verdict(worst, tuple(newly_explained))
         suspects.discard(worst)
-        for crash in shown:
+        for crash in newly_explained:
             explained.add(id(crash))
             for fingerprint, weight in crash.weights.items():
-                against[fingerprint] -= weight
-        suspects = {f for f in suspects if against[f] >= crashes_to_hold}
+                total_weights[fingerprint] -= weight
+        suspects = {f for f in suspects if total_weights[f] >= crashes_to_hold}
     return held
--- a/reachlink/quarantine/_quarantine.py
+++ b/reachlink/quarantine/_quarantine.py
@@ -66,7 +66,7 @@
         self._kept_s = kept_s
         self._involvements: dict[int, Involvement] = {}
         # Ids of crash notes by fingerprint; read at the end of every answer.
-        self._against: dict[int, set[int]] = {}
+        self._crash_ids: dict[int, set[int]] = {}
         # Times and ids of recent notes, and the digest of all notes; both are read for
         # every message to peers.
         self._recent: deque[tuple[float, int]] = deque()
@@ -80,7 +80,7 @@
     @property
     def fingerprints(self) -> set[int]:
         """Fingerprints of the requests that a crash counts against."""
-        return set(self._against)
+        return set(self._crash_ids)
 
     def held(self, now: float) -> list[Verdict]:
         """Return the verdicts on all held requests."""
@@ -89,7 +89,7 @@
 
     def is_suspect(self, fingerprint: int) -> bool:
         """Return whether a crash counts against a request."""
-        return fingerprint in self._against
+        return fingerprint in self._crash_ids
 
     def verdict(self, fingerprint: int, now: float) -> Verdict | None:
         """Return the verdict on a held request, or None if the request is not held."""
@@ -136,11 +136,11 @@
 
     def clear(self, fingerprint: int, now: float) -> bool:
         """Clear a request after an answer or a release; return whether it was a suspect."""
-        against = tuple(self._against.get(fingerprint, ()))
-        if not against:
+        crash_ids = tuple(self._crash_ids.get(fingerprint, ()))
+        if not crash_ids:
             return False
         note_id = self._random.getrandbits(63)
-        self._take_clearance(ClearanceNote(note_id, 0.0, against), now)
+        self._take_clearance(ClearanceNote(note_id, 0.0, crash_ids), now)
         self._on_change(now)
         return True
 
@@ -168,12 +168,12 @@
         return self._digest
 
     def _note(self, now: float, note_ids: list[int]) -> QuarantineNote:
-        crashes = [self._involvements[n] for n in note_ids if n in self._involvements]
+        involvements = [self._involvements[n] for n in note_ids if n in self._involvements]
         clearances = [(n, self._clearances[n]) for n in note_ids if n in self._clearances]
         return QuarantineNote(
             self._digest,
-            [_crash_note(one, now) for one in crashes],
-            [ClearanceNote(n, round(now - one.at, 3), one.void) for n, one in clearances],
+            [_crash_note(i, now) for i in involvements],
+            [ClearanceNote(n, round(now - c.at, 3), c.void) for n, c in clearances],
         )
 
     def _take_crash(self, note: CrashNote, now: float) -> bool:
@@ -182,42 +182,42 @@
             return False
         crashed_at = now - note.age_s
         sent_at = crashed_at - note.ran_s
-        one = Involvement(
+        involvement = Involvement(
             note.note_id, note.fingerprint, note.replica, sent_at, crashed_at, note.begun
         )
-        self._add(one, now)
+        self._add(involvement, now)
         return True
 
     def _take_clearance(self, note: ClearanceNote, now: float) -> bool:
         if note.note_id in self._clearances or note.age_s >= self._kept_s:
             return False
         self._clearances[note.note_id] = _Clearance(note.void, now - note.age_s)
-        self._learn(note.note_id, now)
+        self._add_note_id(note.note_id, now)
         self._void.update(note.void)
         self._drop(note_id for note_id in note.void if note_id in self._involvements)
         return True
 
-    def _add(self, one: Involvement, now: float) -> None:
-        self._involvements[one.note_id] = one
-        self._against.setdefault(one.fingerprint, set()).add(one.note_id)
-        self._learn(one.note_id, now)
+    def _add(self, involvement: Involvement, now: float) -> None:
+        self._involvements[involvement.note_id] = involvement
+        self._crash_ids.setdefault(involvement.fingerprint, set()).add(involvement.note_id)
+        self._add_note_id(involvement.note_id, now)
 
-    def _learn(self, note_id: int, now: float) -> None:
+    def _add_note_id(self, note_id: int, now: float) -> None:
         self._recent.append((now, note_id))
         self._digest ^= note_id
 
     def _drop(self, note_ids: Iterable[int]) -> None:
         for note_id in list(note_ids):
-            one = self._involvements.pop(note_id)
+            involvement = self._involvements.pop(note_id)
             self._digest ^= note_id
-            rest = self._against[one.fingerprint]
+            rest = self._crash_ids[involvement.fingerprint]
             rest.discard(note_id)
             if not rest:
-                del self._against[one.fingerprint]
+                del self._crash_ids[involvement.fingerprint]
 
     def _on_change(self, now: float) -> None:
         self._forget_old(now)
-        self._keep_bounded()
+        self._enforce_bounds()
         self._judge()
         for listener in self._listeners:
             listener()
@@ -227,37 +227,37 @@
 
     def _forget_old(self, now: float) -> None:
         since = now - self._kept_s
-        old = [one.note_id for one in self._involvements.values() if one.crashed_at <= since]
+        old = [i.note_id for i in self._involvements.values() if i.crashed_at <= since]
         if old:
             self._drop(old)
             self._judge()
-        self._forget_clearances([n for n, one in self._clearances.items() if one.at <= since])
+        self._forget_clearances([n for n, c in self._clearances.items() if c.at <= since])
 
     def _forget_clearances(self, note_ids: list[int]) -> None:
         for note_id in note_ids:
             self._void.difference_update(self._clearances.pop(note_id).void)
             self._digest ^= note_id
 
-    def _keep_bounded(self) -> None:
+    def _enforce_bounds(self) -> None:
         """Drop involvements of the requests with the fewest of them, the oldest first."""
         excess = len(self._involvements) - MAX_KEPT
         if excess > 0:
-            by_use = sorted(
+            drop_order = sorted(
                 self._involvements.values(),
-                key=lambda one: (len(self._against[one.fingerprint]), one.crashed_at),
+                key=lambda i: (len(self._crash_ids[i.fingerprint]), i.crashed_at),
             )
-            self._drop(one.note_id for one in by_use[:excess])
+            self._drop(i.note_id for i in drop_order[:excess])
         if len(self._clearances) > MAX_KEPT:
             oldest = sorted(self._clearances, key=lambda note_id: self._clearances[note_id].at)
             self._forget_clearances(oldest[:-MAX_KEPT])
 
 
-def _crash_note(one: Involvement, now: float) -> CrashNote:
+def _crash_note(involvement: Involvement, now: float) -> CrashNote:
     return CrashNote(
-        one.note_id,
-        one.fingerprint,
-        one.replica,
-        round(one.crashed_at - one.sent_at, 3),
-        round(now - one.crashed_at, 3),
-        one.begun,
+        involvement.note_id,
+        involvement.fingerprint,
+        involvement.replica,
+        round(involvement.crashed_at - involvement.sent_at, 3),
+        round(now - involvement.crashed_at, 3),
+        involvement.begun,
     )
--- a/reachlink/quarantine/tests/test_guard.py
+++ b/reachlink/quarantine/tests/test_guard.py
@@ -15,13 +15,13 @@
 class Port:
     """Port of a replica with scripted results of probes; the last result repeats."""
 
-    def __init__(self, *found: Exception | None) -> None:
-        self.found = list(found)
-        self.looks = 0
+    def __init__(self, *results: Exception | None) -> None:
+        self.results = list(results)
+        self.probe_count = 0
 
     async def touch(self, replica: Replica) -> None:
-        self.looks += 1
-        found = self.found.pop(0) if len(self.found) > 1 else self.found[0]
+        self.probe_count += 1
+        found = self.results.pop(0) if len(self.results) > 1 else self.results[0]
         if found is not None:
             raise found
 
@@ -36,7 +36,7 @@
     return BrokenRun(f"id-{number}", GUILTY, REPLICA, at + 0.8, at + 0.9, begun=False)
 
 
-def counted(port: Port, runs: int = 1) -> int:
+def count_crashes(port: Port, runs: int = 1) -> int:
     """Return the number of crashes against a request after consecutive broken runs."""
     quarantine = Quarantine(Random(1), crashes_to_hold=1.0)
 
@@ -67,7 +67,7 @@
     ],
 )
 def test_only_a_closed_port_is_a_crash(found, crashes):
-    assert counted(Port(*found)) == crashes
+    assert count_crashes(Port(*found)) == crashes
 
 
 def test_restart_of_replica_that_answered_the_probe_is_a_crash():
@@ -122,8 +122,8 @@
 
 def test_runs_broken_together_share_one_probe():
     port = Port(REFUSED)
-    assert counted(port, runs=8) == 8
-    assert port.looks == 1
+    assert count_crashes(port, runs=8) == 8
+    assert port.probe_count == 1
 
 
 def hold(quarantine: Quarantine) -> None:
