--- a/benchmarks/bench_paces.py
+++ b/benchmarks/bench_paces.py
@@ -162,13 +162,13 @@
         instance.directory.update(listed.values(), 0.0)
     for told in stream:
         network.now = told.at
-        random.choice(others).book.paces.record_reported(SERVICE, told.life, told.pace, told.at)
+        random.choice(others).tracker.paces.record_reported(SERVICE, told.life, told.pace, told.at)
         if told.at - looked_at < 0.25:
             continue
         looked_at = told.at
         alive = {life for life, ends in ends_at.items() if ends > told.at}
         for instance in chosen + others:
-            instance.book.paces.forget_gone(alive)
+            instance.tracker.paces.forget_gone(alive)
         for number, member in enumerate(others):
             home = chosen[number % coordinators]
             notes = member.paces.updates_for_coordinator(home.record.name)
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -67,7 +67,7 @@
         Name of this instance.
     bus : Bus
         Message bus on which the members' updates and queries arrive.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Load and health of the replicas as seen by this instance.
     shared : PeerLoad
         Load of all other instances: the other coordinators with their members, and the
@@ -100,7 +100,7 @@
         self,
         name: str,
         bus: Bus,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         shared: PeerLoad,
         directory: ReplicaDirectory,
         placing: Placer,
@@ -116,7 +116,7 @@
     ) -> None:
         self._name = name
         self._queue_owner = queue_owner
-        self._book = book
+        self._tracker = tracker
         self._shared = shared
         self._directory = directory
         self._placing = placing
@@ -183,7 +183,7 @@
         self._apply_update(update)
         if update.wait_s <= 0.0:
             # One-way update about requests that have started or ended: no reply is expected.
-            self._book.notify_listeners()
+            self._tracker.notify_listeners()
             return b""
         # A member whose update arrives just after the others were notified must not wait for
         # the next news, nor one that knows of crashes that are not known here.
@@ -212,7 +212,7 @@
         self._limits.apply_updates(update.load.limits)
         self._paces.apply_from_member(name, update.load.paces)
         for outcome in update.outcomes:
-            self._book.record_outcome(outcome, now, self._random)
+            self._tracker.record_outcome(outcome, now, self._random)
         if self._queue_owner is not None:
             self._queue_owner.wake()
 
@@ -241,7 +241,7 @@
             return None
         now = self._clock()
         self._shared.add(query.instance, query.usage_at(replica.name), now)
-        self._book.notify_listeners()
+        self._tracker.notify_listeners()
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
@@ -288,7 +288,7 @@
     ) -> list[ReplicaUsage]:
         """Return the load of all instances but one member at each replica."""
         now = self._clock()
-        own = {usage.replica: usage for usage in self._book.usages(now)}
+        own = {usage.replica: usage for usage in self._tracker.usages(now)}
         found = []
         for replica in replicas:
             usage = self._shared.usage_at(replica.name, now, without=member)
@@ -303,7 +303,7 @@
         for replica in replicas:
             leaves = not self._directory.stays(replica.name)
             if leaves or replica.name in occupied:
-                report = self._book.state(replica.name).current_report(now)
+                report = self._tracker.state(replica.name).current_report(now)
                 if report is not None:
                     found.append(report)
         return found
@@ -311,6 +311,6 @@
     def _allowances(self) -> dict[str, float]:
         now = self._clock()
         found = {
-            r.name: self._book.state(r.name).health.allowance(now) for r in self._directory.all()
+            r.name: self._tracker.state(r.name).health.allowance(now) for r in self._directory.all()
         }
         return {name: value for name, value in found.items() if value < 1.0}
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -66,7 +66,7 @@
         Name of this instance.
     bus : Bus
         Message bus to the coordinators.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Allocations of this instance at the replicas.
     shared : PeerLoad
         Load of the other instances, updated from the snapshots.
@@ -93,7 +93,7 @@
         selector: CoordinatorSelector,
         name: str,
         bus: Bus,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         shared: PeerLoad,
         directory: ReplicaDirectory,
         apply_reports: Callable[[Iterable[ReplicaReport]], None],
@@ -107,7 +107,7 @@
         self._selector = selector
         self._name = name
         self._bus = bus
-        self._book = book
+        self._tracker = tracker
         self._shared = shared
         self._directory = directory
         self._apply_reports = apply_reports
@@ -128,7 +128,7 @@
         self._changed = asyncio.Event()
         # Set while this instance is a member.
         self._is_member = asyncio.Event()
-        book.add_listener(self._changed.set)
+        tracker.add_listener(self._changed.set)
         self._log: Any = get_logger()
 
     @property
@@ -228,7 +228,7 @@
         snapshot = self.coordinator_snapshot
         if snapshot is None or snapshot.coordinator != coordinator.name:
             return FIRST_WAIT_S
-        return BUSY_WAIT_S if self._book.occupied_replicas() else IDLE_WAIT_S
+        return BUSY_WAIT_S if self._tracker.occupied_replicas() else IDLE_WAIT_S
 
     async def _send_changes(self) -> None:
         """Send an update after each change without waiting for a reply."""
@@ -244,7 +244,7 @@
     def _make_update(self, coordinator: str, wait_s: float) -> MemberUpdate:
         load = LoadUpdate(
             self._name,
-            self._book.usages(self._clock()),
+            self._tracker.usages(self._clock()),
             self._own_reports(),
             quarantine=self._quarantine.make_update(),
             limits=self._limits.updates(),
@@ -253,7 +253,7 @@
         known = self._snapshot is not None and self._snapshot.coordinator == coordinator
         digest = self._snapshot.list_digest if self._snapshot is not None and known else 0
         full = not known or self._clock() - self._full_snapshot_at > FULL_SNAPSHOT_INTERVAL_S
-        return MemberUpdate(load, self._book.pop_outcomes(), digest, full, wait_s)
+        return MemberUpdate(load, self._tracker.pop_outcomes(), digest, full, wait_s)
 
     def _apply_snapshot(self, snapshot: CoordinatorSnapshot) -> None:
         now = self._clock()
@@ -277,5 +277,5 @@
         self._limits.apply_updates(snapshot.limits)
         self._paces.apply_from_coordinator(snapshot.coordinator, snapshot.paces)
         for replica, allowance in snapshot.allowances.items():
-            state = self._book.state(replica)
+            state = self._tracker.state(replica)
             state.coordinator_allowance, state.coordinator_allowance_at = allowance, now
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -39,7 +39,7 @@
         Name of this instance.
     placing : Placer
         Chooses the replica for a request.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Notified of grants to requests of other instances, so that an update is sent.
     shared : PeerLoad
         Load of the other instances, to which grants are added.
@@ -57,7 +57,7 @@
         self,
         name: str,
         placing: Placer,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         shared: PeerLoad,
         directory: ReplicaDirectory,
         outcomes: QueueOutcomes,
@@ -67,7 +67,7 @@
         self._name = name
         self._random = random
         self._placing = placing
-        self._book = book
+        self._tracker = tracker
         self._shared = shared
         self._recent_grants = RecentGrants(shared, clock)
         self._directory = directory
@@ -206,7 +206,7 @@
             return None
         if query.instance != self._name:
             self._recent_grants.add(query.instance, query.usage_at(name))
-            self._book.notify_listeners()
+            self._tracker.notify_listeners()
         else:
             self._shared.add(self._name, query.usage_at(name), self._clock())
         return ListedReplica(
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -60,7 +60,7 @@
         Name of this instance.
     placing : Placer
         Chooses the replica for a request.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Notifies this instance of changes of its own requests at the replicas.
     shared : PeerLoad
         Load of the other instances, to which grants are added.
@@ -82,7 +82,7 @@
         self,
         name: str,
         placing: Placer,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         shared: PeerLoad,
         directory: ReplicaDirectory,
         services: Callable[[], list[Service]],
@@ -99,12 +99,12 @@
         random = random or Random()
         self._outcomes = QueueOutcomes(count, clock, random)
         self._grants = QueueGrants(
-            name, placing, book, shared, directory, self._outcomes, clock, random
+            name, placing, tracker, shared, directory, self._outcomes, clock, random
         )
         self._queues: dict[str, ServiceQueue] = {}
         self._changed = asyncio.Event()
         self._scan_task: asyncio.Task[None] | None = None
-        book.add_listener(self.wake)
+        tracker.add_listener(self.wake)
         self._log: Any = get_logger()
 
     @property
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -142,11 +142,11 @@
     async def scenario():
         network, (c1,), (m1, m2) = make_fleet(coordinators=1)
         for member in (m1, m2):
-            member.book.buffer_outcome(ReplicaOutcome("r1", succeeded=False, answered=False))
+            member.tracker.buffer_outcome(ReplicaOutcome("r1", succeeded=False, answered=False))
             await member.poll_coordinator()
         answers = [await m1.member.ask(make_query(1_000)) for _ in range(4)]
         await m2.poll_coordinator()
-        return answers, m2.book.state("r1").allowance_from_coordinator(network.now)
+        return answers, m2.tracker.state("r1").allowance_from_coordinator(network.now)
 
     answers, allowance = asyncio.run(scenario())
     assert {answer.replica.name for answer in answers} == {"r2"}
@@ -212,7 +212,7 @@
         m2.start_request("r1", 4_000)
         await m1.poll_coordinator()
         await m2.poll_coordinator()
-        return c1.coordinator.add_member_usages(c1.book.usages(c1.clock()))
+        return c1.coordinator.add_member_usages(c1.tracker.usages(c1.clock()))
 
     (share,) = asyncio.run(scenario())
     assert (share.running, share.tokens) == (3, 7_000)
--- a/reachlink/coordination/tests/test_pace_exchange.py
+++ b/reachlink/coordination/tests/test_pace_exchange.py
@@ -20,11 +20,11 @@
 
 
 def report_pace(instance: Instance, replica: str, pace: float) -> None:
-    instance.book.paces.record_reported(SERVICE, replica, pace, instance.clock())
+    instance.tracker.paces.record_reported(SERVICE, replica, pace, instance.clock())
 
 
 def steady(instance: Instance, replica: str) -> float:
-    return instance.book.paces.pace(replica, instance.clock()).steady
+    return instance.tracker.paces.pace(replica, instance.clock()).steady
 
 
 def send_to_peer(teller: Instance, listener: Instance) -> list[PaceUpdate]:
@@ -58,9 +58,9 @@
 
     network, *instances = asyncio.run(scenario())
     for instance in instances:
-        pace = instance.book.paces.pace_if_reported(SERVICE, "r1", network.now)
+        pace = instance.tracker.paces.pace_if_reported(SERVICE, "r1", network.now)
         assert (pace.steady, pace.age_s) == (0.55, pytest.approx(3.0))
-        assert instance.book.paces.is_reported(SERVICE)
+        assert instance.tracker.paces.is_reported(SERVICE)
 
 
 def test_unchanged_pace_is_sent_once_and_not_to_its_sender():
@@ -119,14 +119,14 @@
     assert steady(c2, "r1") == 0.55
     network.now += 3.0
     c2.paces.apply_from_coordinator("c3", [PaceUpdate("r1", 200, age_ms=9_000)])
-    assert c2.book.paces.pace("r1", network.now).age_s == pytest.approx(4.0)
+    assert c2.tracker.paces.pace("r1", network.now).age_s == pytest.approx(4.0)
 
 
 def test_pace_of_earlier_lifetime_is_ignored_and_of_new_lifetime_replaces_estimate():
     c1 = single_coordinator()
     started: list[str] = []
     c1.directory.set_restart_listener(
-        lambda name: (started.append(name), c1.book.reset_replica(name))
+        lambda name: (started.append(name), c1.tracker.reset_replica(name))
     )
     c1.directory.record_start("r1", 2_000, c1.clock())
     c1.paces.apply_from_coordinator("c2", [PaceUpdate("r1", 55, born=1_000)])
@@ -151,9 +151,9 @@
     network.now += 0.3
     report_pace(c1, "r1", 1.375)
     send_to_peer(c1, c2)
-    assert c2.book.paces.pace("r1", network.now).momentary == pytest.approx(2.5)
+    assert c2.tracker.paces.pace("r1", network.now).momentary == pytest.approx(2.5)
     network.now += 60.0
-    pace = c2.book.paces.pace("r1", network.now)
+    pace = c2.tracker.paces.pace("r1", network.now)
     assert (pace.steady, pace.momentary, pace.age_s) == (0.55, 1.0, pytest.approx(60.0))
 
 
@@ -173,13 +173,13 @@
 def test_paces_of_unknown_replicas_are_ignored():
     c1 = single_coordinator()
     c1.paces.apply_from_member("m1", [PaceUpdate("r99", 55), PaceUpdate("r1", 55)])
-    assert (c1.book.paces.count, steady(c1, "r1")) == (1, 0.55)
+    assert (c1.tracker.paces.count, steady(c1, "r1")) == (1, 0.55)
 
 
 def test_values_out_of_range_are_clamped():
     c1 = single_coordinator()
     c1.paces.apply_from_member("m1", [PaceUpdate("r1", 10**9, 0, -100, -300, -5_000)])
-    pace = c1.book.paces.pace("r1", c1.clock())
+    pace = c1.tracker.paces.pace("r1", c1.clock())
     assert (pace.steady, pace.slow_factor, pace.slow_share, pace.age_s) == (8.0, 1.0, 0.0, 0.0)
 
 
@@ -212,7 +212,7 @@
         # Changes while all paces are being sent again, and between two such resends.
         for _ in range(int(0.8 * RESEND_INTERVAL_S / every_s)):
             notes()
-        c1.book.paces.reset_replica(f"r{number}")
+        c1.tracker.paces.reset_replica(f"r{number}")
         report_pace(c1, f"r{number}", 2.4)
         assert f"r{number}" in notes()
     told: set[str] = set()
--- a/reachlink/coordination/tests/test_queue.py
+++ b/reachlink/coordination/tests/test_queue.py
@@ -57,13 +57,13 @@
 
 
 def make_load_update(sender: Instance, now: float) -> LoadUpdate:
-    return LoadUpdate(sender.record.name, sender.book.usages(now))
+    return LoadUpdate(sender.record.name, sender.tracker.usages(now))
 
 
 def end_requests(instance: Instance, replica: str) -> None:
     """End the requests of an instance at a replica."""
-    for flight in list(instance.book.state(replica).allocations):
-        instance.book.remove(replica, flight)
+    for flight in list(instance.tracker.state(replica).allocations):
+        instance.tracker.remove(replica, flight)
 
 
 def owner_of(instance: Instance, chosen: list[Instance], now: float) -> Instance:
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -63,7 +63,7 @@
         """Exchange the loads of all instances that reach each other."""
         reachable = [i for i in self.instances if i.record.name not in self.network.silent]
         for sender in reachable:
-            update = LoadUpdate(sender.record.name, sender.book.usages(self.network.now))
+            update = LoadUpdate(sender.record.name, sender.tracker.usages(self.network.now))
             for receiver in reachable:
                 if receiver is not sender:
                     receiver.shared.update(update, self.network.now)
@@ -71,8 +71,8 @@
     def make_room(self) -> None:
         """End all requests that fill the replicas at the start."""
         for replica in ("r1", "r2"):
-            for allocation in list(self.filler.book.state(replica).allocations):
-                self.filler.book.remove(replica, allocation)
+            for allocation in list(self.filler.tracker.state(replica).allocations):
+                self.filler.tracker.remove(replica, allocation)
         self.exchange_loads()
 
     def ask(self, instance: Instance, name: str, tokens: int = 8_000) -> asyncio.Task[None]:
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -103,7 +103,7 @@
     ) -> None:
         self.record = InstanceRecord(name, name, zone)
         self.network = network
-        self.book = ReplicaTracker()
+        self.tracker = ReplicaTracker()
         self.shared = PeerLoad()
         self.directory = ReplicaDirectory()
         self.selector = CoordinatorSelector(name, zone)
@@ -127,12 +127,12 @@
             Random(1),
             clock=self.clock,
         )
-        self.paces = PaceExchange(self.book.paces, self.directory, self.clock)
+        self.paces = PaceExchange(self.tracker.paces, self.directory, self.clock)
         self.member = Member(
             self.selector,
             name,
             bus,  # type: ignore[arg-type]
-            self.book,
+            self.tracker,
             self.shared,
             self.directory,
             self.news.extend,
@@ -147,7 +147,7 @@
             zone,
             FakeAdapter(),
             self.directory,
-            self.book,
+            self.tracker,
             self.shared,
             Random(1),
             lambda *outcome: None,
@@ -164,7 +164,7 @@
         self.coordinator = Coordinator(
             name,
             bus,  # type: ignore[arg-type]
-            self.book,
+            self.tracker,
             self.shared,
             self.directory,
             self.placing,
@@ -185,7 +185,7 @@
         return QueueOwner(
             self.record.name,
             self.placing,
-            self.book,
+            self.tracker,
             self.shared,
             self.directory,
             lambda: [SERVICE],
@@ -223,7 +223,7 @@
     def start_request(self, replica: str, tokens: int = 9_000) -> Allocation:
         """Start a request at a replica."""
         flight = Allocation(f"{self.record.name}-{replica}", tokens, used_tokens=tokens)
-        self.book.add(replica, flight)
+        self.tracker.add(replica, flight)
         return flight
 
 
--- a/reachlink/entry/_load_teller.py
+++ b/reachlink/entry/_load_teller.py
@@ -31,7 +31,7 @@
         This instance.
     bus : Bus
         Where notes go.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Counts changes that the others should know soon.
     shares : callable
         Returns the requests of this instance and its members.
@@ -55,7 +55,7 @@
         self,
         name: str,
         bus: Bus,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         shares: Callable[[], list[ReplicaUsage]],
         shared: PeerLoad,
         reports: ReportReader,
@@ -77,7 +77,7 @@
         self._clock = clock
         self._peers: list[InstanceRecord] = []
         self._changed = asyncio.Event()
-        book.add_listener(self._changed.set)
+        tracker.add_listener(self._changed.set)
         bus.handle(CHANNEL_LOAD, self._on_note)
 
     @property
--- a/reachlink/entry/_relay_daemon.py
+++ b/reachlink/entry/_relay_daemon.py
@@ -48,7 +48,7 @@
         self._node.metrics.export_held(self._node.held)
         self._node.metrics.export_limits(self._node.client.pacing.limits.count)
         self._node.metrics.export_paces(
-            self._node.book.paces.steady_paces, lambda: self._node.adapter.unreadable_loads
+            self._node.tracker.paces.steady_paces, lambda: self._node.adapter.unreadable_loads
         )
         self._node.metrics.export_quarantine(
             lambda: len(self._node.quarantine.held(steady_time())),
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -73,7 +73,7 @@
         self.directory = ReplicaDirectory(
             unconfirmed_mark_s=config.leaving_mark_s, pacing=self.client.pacing
         )
-        self.book = ReplicaTracker(PaceTracker(config.scheduling.pace))
+        self.tracker = ReplicaTracker(PaceTracker(config.scheduling.pace))
         self.shared = PeerLoad()
         self.quarantine = Quarantine(Random(), config.crashes_to_hold, config.crashes_kept_s)
         self.crash_news = QuarantineExchange(self.bus, self.quarantine, Random())
@@ -86,18 +86,18 @@
             Random(),
             lambda outcome: self.metrics.permits.add(1, {"outcome": outcome}),
         )
-        self.book.paces.add_listener(PaceLog().note)
-        self.paces = PaceExchange(self.book.paces, self.directory)
+        self.tracker.paces.add_listener(PaceLog().note)
+        self.paces = PaceExchange(self.tracker.paces, self.directory)
         self.client.gate = self.limits
         self.client.on_limit_change = self._tell_at_once
-        self._zones = ZonesInForce(self.directory, self.book, self.log)
+        self._zones = ZonesInForce(self.directory, self.tracker, self.log)
         adapter = self.adapter = RELAY_ADAPTERS.get(config.upstream)(self.client)
         departures = self._departures = ShutdownTimes()
         self.reports = ReportReader(
             config.name,
             adapter,
             self.directory,
-            self.book,
+            self.tracker,
             self._engines,
             steady_time,
             departures,
@@ -109,7 +109,7 @@
             self.selector,
             config.name,
             self.bus,
-            self.book,
+            self.tracker,
             self.shared,
             self.directory,
             self.reports.take,
@@ -123,7 +123,7 @@
         self.teller = LoadTeller(
             config.name,
             self.bus,
-            self.book,
+            self.tracker,
             self._shares,
             self.shared,
             self.reports,
@@ -162,7 +162,7 @@
                 zone=config.availability_zone,
                 adapter=adapter,
                 directory=self.directory,
-                book=self.book,
+                tracker=self.tracker,
                 shared=self.shared,
                 random=Random(),
                 on_outcome=RequestEnds(self.metrics, self._table).note,
@@ -185,7 +185,7 @@
         self.coordinator = Coordinator(
             config.name,
             self.bus,
-            self.book,
+            self.tracker,
             self.shared,
             self.directory,
             self._runner.placer,
@@ -210,7 +210,7 @@
         return QueueOwner(
             self.config.name,
             self._runner.placer,
-            self.book,
+            self.tracker,
             self.shared,
             self.directory,
             self._engine_services,
@@ -316,12 +316,12 @@
 
     def _shares(self) -> list[ReplicaUsage]:
         """Return the requests of this instance and its members at model engines."""
-        return self.coordinator.add_member_usages(self.book.usages(steady_time()))
+        return self.coordinator.add_member_usages(self.tracker.usages(steady_time()))
 
     def _zone_answered_at(self, zone: str) -> float:
         """Return when a replica of a zone answered last, in monotonic seconds."""
         names = (r.name for r in self.directory.all() if r.availability_zone == zone)
-        return max((self.book.state(name).answered_at for name in names), default=float("-inf"))
+        return max((self.tracker.state(name).answered_at for name in names), default=float("-inf"))
 
     def unserved(self) -> str:
         """Return a service that no replica in reach serves while the zone is cut off, or ``""``."""
@@ -364,7 +364,7 @@
 
         A replica that is replaced each 3 s leaves 28,800 states of some 1 KB a day.
         """
-        self.book.forget_gone(self.directory.names)
+        self.tracker.forget_gone(self.directory.names)
         self.shared.forget_silent(steady_time())
 
     async def on_settings(self) -> None:
@@ -375,7 +375,7 @@
     def _on_started_again(self, replica: str) -> None:
         """A replica has started again under its name: it holds and knows nothing of before."""
         self.log.info("upstream_started_again", replica=replica, born=self.directory.born(replica))
-        self.book.reset_replica(replica)
+        self.tracker.reset_replica(replica)
         self._departures.forget(replica)
         self._runner.on_replica_restarted(replica)
 
@@ -383,11 +383,11 @@
         """The machine was suspended for some time: what was known is that much older."""
         self.log.warning("machine_resumed", suspended_s=round(suspended_s, 3))
         self._runner.on_resumed()
-        self.book.notify_listeners()
+        self.tracker.notify_listeners()
 
     def _tell_at_once(self) -> None:
         """Something was learned that others must know before they send the next request."""
-        self.book.notify_listeners()
+        self.tracker.notify_listeners()
         self.coordinator.notify_members()
 
     def _engines(self) -> list[str]:
--- a/reachlink/entry/_report_reader.py
+++ b/reachlink/entry/_report_reader.py
@@ -38,7 +38,7 @@
         Speaks with replicas.
     directory : ReplicaDirectory
         The replicas.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Where readings are kept.
     engines : callable
         Returns the names of the services that are model engines.
@@ -55,7 +55,7 @@
         name: str,
         adapter: RelayAdapter,
         directory: ReplicaDirectory,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         engines: Callable[[], list[str]],
         clock: Callable[[], float],
         departures: ShutdownTimes,
@@ -64,7 +64,7 @@
         self._name = name
         self._adapter = adapter
         self._directory = directory
-        self._book = book
+        self._tracker = tracker
         self._engines = engines
         self._clock = clock
         self._zone = zone
@@ -108,14 +108,14 @@
         born = self._directory.born(replica)
         news = ReplicaReport(replica, True, 0, 0, 0.0, born=born, announced_leaving=said)
         self._own[replica] = (self._clock(), news)
-        self._book.notify_listeners()
+        self._tracker.notify_listeners()
 
     def tell_gone(self, replica: str) -> None:
         """Tell the others of a replica that is gone for good."""
         born = self._directory.born(replica)
         news = ReplicaReport(replica, True, 0, 0, 0.0, gone=True, born=born)
         self._own[replica] = (self._clock(), news)
-        self._book.notify_listeners()
+        self._tracker.notify_listeners()
         self.on_departure()
 
     def take(self, news: Iterable[ReplicaReport]) -> None:
@@ -134,7 +134,7 @@
                 task.add_done_callback(self._tasks.discard)
 
     def _due(self) -> list[Replica]:
-        carrying = set(self._book.occupied_replicas())
+        carrying = set(self._tracker.occupied_replicas())
         if not carrying and self._name not in self._readers:
             return []
         engines = self._engines()
@@ -158,7 +158,7 @@
     def _falls_here(self, replica: Replica, carrying: set[str]) -> bool:
         if self._usual_reader(replica.name) == self._name:
             return True
-        silent = self._clock() - self._book.state(replica.name).reported_at
+        silent = self._clock() - self._tracker.state(replica.name).reported_at
         near = self._name in self._readers and replica.availability_zone == self._zone
         return silent > OTHERS_SILENT_S and (near or replica.name in carrying)
 
@@ -203,7 +203,7 @@
             return
         if 0 < report.born < self._directory.born(replica.name):
             return
-        self._book.paces.record_reported(replica.upstream, replica.name, report.load.pace, now)
+        self._tracker.paces.record_reported(replica.upstream, replica.name, report.load.pace, now)
 
     def _note(self, news: ReplicaReport, read_at: float) -> None:
         if news.gone:
@@ -213,16 +213,16 @@
             # Read before it started again.
             return
         if self._directory.record_start(news.replica, news.born, self._clock()):
-            self._book.notify_listeners()
+            self._tracker.notify_listeners()
             self.on_departure()
-        newest = self._book.state(news.replica).record_report(news, read_at)
+        newest = self._tracker.state(news.replica).record_report(news, read_at)
         if not news.announced_leaving and not (newest and news.leaving):
             return
         self._note_departure(news, read_at)
         source = LeavingSource.ANSWER if news.announced_leaving else LeavingSource.REPORT
         if self._directory.mark_leaving(news.replica, source, self._clock()):
             self._log.info("upstream_leaving", replica=news.replica, source="report")
-            self._book.notify_listeners()
+            self._tracker.notify_listeners()
             self.on_departure()
 
     def _note_gone(self, news: ReplicaReport) -> None:
--- a/reachlink/entry/_zones_in_force.py
+++ b/reachlink/entry/_zones_in_force.py
@@ -16,7 +16,7 @@
     ----------
     directory : ReplicaDirectory
         Says which replicas may get work.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         This instance's requests at replicas.
     log : object
         Logger of the process.
@@ -27,17 +27,17 @@
     def __init__(
         self,
         directory: ReplicaDirectory,
-        book: ReplicaTracker,
+        tracker: ReplicaTracker,
         log: Any,
         clock: Callable[[], float] = steady_time,
     ) -> None:
         self._directory = directory
-        self._book = book
+        self._tracker = tracker
         self._log = log
         self._clock = clock
         # Zones out of service where requests of this instance still ran when last looked.
         self._running: Set[str] = frozenset()
-        book.add_listener(self._note_empty)
+        tracker.add_listener(self._note_empty)
 
     def take(self, tree: SettingsTree) -> None:
         """Send nothing more to zones out of service, from this very step on."""
@@ -66,4 +66,4 @@
     def _running_in(self, zone: str) -> int:
         """Return how many requests of this instance run at replicas of a zone."""
         there = (r.name for r in self._directory.all() if r.availability_zone == zone)
-        return sum(self._book.state(name).own_running for name in there)
+        return sum(self._tracker.state(name).own_running for name in there)
--- a/reachlink/entry/tests/test_pace_sight.py
+++ b/reachlink/entry/tests/test_pace_sight.py
@@ -70,17 +70,17 @@
 
 
 def test_a_replica_that_starts_again_begins_a_new_pace(node):  # noqa: F811
-    node.book.paces.record_reported("chat", "r1", 1.2, steady_time())
+    node.tracker.paces.record_reported("chat", "r1", 1.2, steady_time())
     node._on_started_again("r1")
-    assert node.book.paces.pace("r1", steady_time()) == Pace()
+    assert node.tracker.paces.pace("r1", steady_time()) == Pace()
 
 
 def test_paces_go_along_with_notes_to_other_coordinators(node):  # noqa: F811
     node.directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    node.book.paces.record_reported("chat", "r1", 1.2, steady_time())
+    node.tracker.paces.record_reported("chat", "r1", 1.2, steady_time())
     told = node.teller._note()
     assert [(note.replica, note.steady) for note in told.paces] == [("r1", 120)]
     assert node.teller._note().paces == []
-    node.book.reset_replica("r1")
+    node.tracker.reset_replica("r1")
     asyncio.run(node.teller._on_note("e2", encode(told)))
-    assert node.book.paces.pace("r1", steady_time()).steady == 1.2
+    assert node.tracker.paces.pace("r1", steady_time()).steady == 1.2
--- a/reachlink/entry/tests/test_relay_node.py
+++ b/reachlink/entry/tests/test_relay_node.py
@@ -160,7 +160,7 @@
     node.on_roster([InstanceRecord("e9", "10.0.9.1:7201", "b"), ITSELF], 2)
     node._isolation._known_since = {"e9": now - 60.0}
     node.directory.update([ListedInstance("r9", "chat", "b", "10.0.9.2:80")], now)
-    node.book.state("r9").record_report(ReplicaReport("r9", False, 0, 0, 0.0), now)
+    node.tracker.state("r9").record_report(ReplicaReport("r9", False, 0, 0, 0.0), now)
     assert not node.cut_off()
 
 
@@ -170,11 +170,11 @@
     node.directory.update([ListedInstance("r9", "chat", "a", "10.0.9.2:80")], now)
     node.reports.take([ReplicaReport("r9", True, 900, 9, 0.3, leaves_in_s=1.0, born=100)])
     flight = Allocation("id-1", 100, used_tokens=100)
-    node.book.add("r9", flight)
+    node.tracker.add("r9", flight)
     for _ in range(3):
-        node.book.state("r9").health.on_failure(now, Random(1))
+        node.tracker.state("r9").health.on_failure(now, Random(1))
     node.reports.take([ReplicaReport("r9", False, 0, 0, 0.1, born=200)])
-    state = node.book.state("r9")
+    state = node.tracker.state("r9")
     assert node.directory.may_get_work("r9")
     assert state.health.allowance(now) == 1.0
     assert state.reported_tokens(now) == 0
--- a/reachlink/entry/tests/test_report_reader.py
+++ b/reachlink/entry/tests/test_report_reader.py
@@ -45,9 +45,9 @@
 
 
 def test_a_replica_that_is_gone_for_good_is_passed_on_once():
-    directory, book = ReplicaDirectory(), ReplicaTracker()
+    directory, tracker = ReplicaDirectory(), ReplicaTracker()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    reader = ReportReader("e1", Reports(), directory, book, list, lambda: 5.0, ShutdownTimes())
+    reader = ReportReader("e1", Reports(), directory, tracker, list, lambda: 5.0, ShutdownTimes())
     woken = []
     reader.on_departure = lambda: woken.append(True)
     reader.take([ReplicaReport("r1", True, 0, 0, 0.1, gone=True)])
@@ -57,21 +57,21 @@
     assert woken == [True]
 
 
-def reader_of(directory: ReplicaDirectory, book: ReplicaTracker) -> ReportReader:
-    return ReportReader("e1", Reports(), directory, book, list, lambda: 5.0, ShutdownTimes())
+def reader_of(directory: ReplicaDirectory, tracker: ReplicaTracker) -> ReportReader:
+    return ReportReader("e1", Reports(), directory, tracker, list, lambda: 5.0, ShutdownTimes())
 
 
 def test_a_report_of_the_life_before_says_nothing_of_the_new_one():
-    directory, book = ReplicaDirectory(), ReplicaTracker()
+    directory, tracker = ReplicaDirectory(), ReplicaTracker()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    reader = reader_of(directory, book)
+    reader = reader_of(directory, tracker)
     reader.take([ReplicaReport("r1", False, 100, 1, 1.0, born=100)])
     reader.take([ReplicaReport("r1", False, 0, 0, 0.5, born=200)])
     # Read before, heard after: by way of an instance that is behind.
     reader.take([ReplicaReport("r1", True, 900, 9, 0.1, born=100)])
     reader.take([ReplicaReport("r1", True, 0, 0, 0.1, gone=True, born=100)])
     assert directory.may_get_work("r1")
-    assert book.state("r1").report.kv_used_tokens == 0
+    assert tracker.state("r1").report.kv_used_tokens == 0
     reader.take([ReplicaReport("r1", True, 0, 0, 0.05, born=200)])
     assert not directory.may_get_work("r1")
 
@@ -89,14 +89,14 @@
 
 
 def test_a_pace_that_comes_with_a_report_counts_for_the_life_that_it_is_of():
-    directory, book, adapter = ReplicaDirectory(), ReplicaTracker(), Paces()
+    directory, tracker, adapter = ReplicaDirectory(), ReplicaTracker(), Paces()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    directory.set_restart_listener(book.reset_replica)
-    reader = ReportReader("e1", adapter, directory, book, list, lambda: 5.0, ShutdownTimes())
+    directory.set_restart_listener(tracker.reset_replica)
+    reader = ReportReader("e1", adapter, directory, tracker, list, lambda: 5.0, ShutdownTimes())
     replica = directory.find("r1")
     assert replica is not None
     steadies = []
     for _ in range(3):
         asyncio.run(reader._read(replica))
-        steadies.append(book.paces.pace("r1", 5.0).steady)
+        steadies.append(tracker.paces.pace("r1", 5.0).steady)
     assert steadies == [1.2, 0.55, 0.55]
--- a/reachlink/entry/tests/test_zones_in_force.py
+++ b/reachlink/entry/tests/test_zones_in_force.py
@@ -22,19 +22,19 @@
 
 
 def test_a_zone_is_left_alone_at_once_and_told_empty_when_its_last_request_has_ended():
-    directory, book, log = ReplicaDirectory(), ReplicaTracker(), CapturingLogger()
+    directory, tracker, log = ReplicaDirectory(), ReplicaTracker(), CapturingLogger()
     directory.update([ListedInstance("r1", "chat", "a", "r1:1")], 0.0)
-    zones = ZonesInForce(directory, book, log, lambda: 0.0)
+    zones = ZonesInForce(directory, tracker, log, lambda: 0.0)
     flight = Allocation("id-1", 100)
-    book.add("r1", flight)
+    tracker.add("r1", flight)
     zones.take(tree(3, a=True, b=True))
     assert directory.live("chat") == []
     told = [(call.args[0], call.kwargs.get("zone")) for call in log.calls]
     assert told == [("zones_out_of_service", None), ("zone_empty", "b")]
     assert log.calls[0].kwargs["running_there"] == 1
-    book.notify_listeners()
+    tracker.notify_listeners()
     assert len(log.calls) == 2
-    book.remove("r1", flight)
+    tracker.remove("r1", flight)
     assert log.calls[-1].kwargs == {"zone": "a"}
     zones.take(tree(4, a=False, b=True))
     assert [r.name for r in directory.live("chat")] == ["r1"]
--- a/reachlink/requests/_allocations.py
+++ b/reachlink/requests/_allocations.py
@@ -48,7 +48,7 @@
             used_tokens=request.prompt_tokens,
             is_copy=copy,
         )
-        self._parts.book.add(replica.name, allocation)
+        self._parts.tracker.add(replica.name, allocation)
         if not copy:
             allocation.body_bytes = len(request.relay.body)
             self._sent.add(replica.name, allocation.body_bytes)
@@ -56,7 +56,7 @@
 
     def remove(self, replica: Replica, allocation: Allocation) -> None:
         """Remove an allocation from a replica."""
-        self._parts.book.remove(replica.name, allocation)
+        self._parts.tracker.remove(replica.name, allocation)
         self._sent.remove(replica.name, allocation.body_bytes)
         allocation.body_bytes = 0
 
@@ -66,11 +66,11 @@
 
     def mark_prompt_read(self, allocation: Allocation) -> None:
         """Record that a replica has processed a request's prompt."""
-        self._parts.book.mark_prompt_read(allocation)
+        self._parts.tracker.mark_prompt_read(allocation)
 
     def mark_not_evictable(self, allocation: Allocation) -> None:
         """Record that a copy is no longer evictable."""
-        self._parts.book.mark_not_evictable(allocation)
+        self._parts.tracker.mark_not_evictable(allocation)
 
     def expect_resume(self, allocation: Allocation, primary: Replica) -> None:
         """Record when a generation will resume from its copy because its primary leaves."""
@@ -81,7 +81,7 @@
             allocation.resumes_at is None or abs(at - allocation.resumes_at) > MIN_SENT_CHANGE_S
         ):
             allocation.resumes_at = at
-            self._parts.book.notify_listeners()
+            self._parts.tracker.notify_listeners()
 
     def shutdown_in_s(self, replica: Replica) -> float | None:
         """Return the time until a leaving replica is shut down, in seconds; None if unknown."""
--- a/reachlink/requests/_copy_order.py
+++ b/reachlink/requests/_copy_order.py
@@ -29,7 +29,8 @@
         now = parts.clock()
         leaving = parts.directory.leaving(service.name, now - DEPARTURE_COPY_PRIORITY_S)
         return any(
-            parts.book.state(name).own_unreplicated or parts.shared.usage_at(name, now).unreplicated
+            parts.tracker.state(name).own_unreplicated
+            or parts.shared.usage_at(name, now).unreplicated
             for name in leaving
         )
 
@@ -38,7 +39,7 @@
         if service.engine is None:
             return False
         parts = self._parts
-        state = parts.book.state(replica.name)
+        state = parts.tracker.state(replica.name)
         others = parts.shared.usage_at(replica.name, parts.clock())
         return must_evict(
             allocation.summary,
@@ -51,5 +52,5 @@
         """Return the number of generations to copy from a replica before the given one."""
         parts = self._parts
         others = parts.shared.usage_at(replica.name, parts.clock())
-        own = parts.book.state(replica.name).own_unreplicated
+        own = parts.tracker.state(replica.name).own_unreplicated
         return departure_copy_rank(allocation.summary, [*own, *others.unreplicated])
--- a/reachlink/requests/_outcome_recorder.py
+++ b/reachlink/requests/_outcome_recorder.py
@@ -123,5 +123,5 @@
 
     def _record_outcome(self, outcome: ReplicaOutcome) -> None:
         parts = self._parts
-        parts.book.record_outcome(outcome, parts.clock(), parts.random)
-        parts.book.buffer_outcome(outcome)
+        parts.tracker.record_outcome(outcome, parts.clock(), parts.random)
+        parts.tracker.buffer_outcome(outcome)
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -96,7 +96,7 @@
         Client of the replicas.
     directory : Directory
         Known replicas.
-    book : ReplicaTracker
+    tracker : ReplicaTracker
         Load and health of the replicas, and the requests of this instance at them.
     shared : PeerLoad
         Load of the other entry instances at the replicas.
@@ -140,7 +140,7 @@
     zone: str
     adapter: RelayAdapter
     directory: Directory
-    book: ReplicaTracker
+    tracker: ReplicaTracker
     shared: PeerLoad
     random: Random
     on_outcome: Callable[[CallerRequest, str, float], None]
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -45,7 +45,7 @@
         parts = self._parts
         now = parts.clock()
         live = [r for r in self._reachable.live(service.name, now) if r.name not in excluded]
-        states = {r.name: parts.book.state(r.name) for r in live}
+        states = {r.name: parts.tracker.state(r.name) for r in live}
         from_coordinator = {
             name: state.allowance_from_coordinator(now) for name, state in states.items()
         }
@@ -108,4 +108,4 @@
         parts = self._parts
         if not parts.scheduling.pace:
             return None
-        return parts.book.paces.pace_if_reported(service.name, replica.name, now)
+        return parts.tracker.paces.pace_if_reported(service.name, replica.name, now)
--- a/reachlink/requests/_replica_pace.py
+++ b/reachlink/requests/_replica_pace.py
@@ -20,15 +20,15 @@
 
     def note_load(self, replica: Replica, load: LoadSample, now: float) -> None:
         """Record the load that a replica reported, and its pace if it reported one."""
-        book = self._parts.book
-        book.state(replica.name).record_sample(load, now)
+        tracker = self._parts.tracker
+        tracker.state(replica.name).record_sample(load, now)
         if load.pace is not None:
-            book.paces.record_reported(replica.upstream, replica.name, load.pace, now)
+            tracker.paces.record_reported(replica.upstream, replica.name, load.pace, now)
 
     def has_unread_prompts(self, replica: Replica) -> bool:
         """Return whether a replica has prompts to process, which delay its generations."""
         parts = self._parts
-        if parts.book.state(replica.name).own_unread_tokens:
+        if parts.tracker.state(replica.name).own_unread_tokens:
             return True
         return parts.shared.usage_at(replica.name, parts.clock()).unread_tokens > 0
 
@@ -48,11 +48,11 @@
         if engine is None:
             return
         now = parts.clock()
-        state = parts.book.state(replica.name)
+        state = parts.tracker.state(replica.name)
         others = parts.shared.usage_at(replica.name, now).running
         running = state.running(now, state.own_running + others)
         usual_s = nominal_event_interval_s(running, engine.tokens_per_event)
-        parts.book.paces.record_measured(replica.upstream, replica.name, event_s / usual_s, now)
+        parts.tracker.paces.record_measured(replica.upstream, replica.name, event_s / usual_s, now)
 
     def note_call(self, request: CallerRequest, replica: Replica, sent_at: float) -> None:
         """Record the duration of a call that ended, or was given up, at its replica.
@@ -70,8 +70,8 @@
             Monotonic time in seconds at which the call was sent.
         """
         parts, now = self._parts, self._parts.clock()
-        if request.service.engine is not None or parts.book.state(replica.name).has_waiting(now):
+        if request.service.engine is not None or parts.tracker.state(replica.name).has_waiting(now):
             return
-        parts.book.paces.record_call(
+        parts.tracker.paces.record_call(
             replica.upstream, request.route.name, replica.name, now - sent_at, now
         )
--- a/reachlink/requests/tests/test_backoffs.py
+++ b/reachlink/requests/tests/test_backoffs.py
@@ -57,7 +57,7 @@
     asyncio.run(setup.run(kind, max_attempts=1))
     assert sent_to(setup)[-1] == last
     assert setup.outcomes == ["delivered"]
-    assert all(setup.book.state(name).health.failures == 0.0 for name in setup.zones)
+    assert all(setup.tracker.state(name).health.failures == 0.0 for name in setup.zones)
 
 
 def test_a_caller_is_told_the_end_of_a_long_backoff_at_once():
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -99,7 +99,7 @@
         world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         loop = asyncio.get_running_loop()
         began = loop.time()
-        world.book.add("m1", Allocation("g1", 3000, is_copy=True, resumes_at=began + 0.05))
+        world.tracker.add("m1", Allocation("g1", 3000, is_copy=True, resumes_at=began + 0.05))
         sink = await world.run(RequestKind.STREAM, output_tokens=10)
         return loop.time() - began, sink.body
 
@@ -112,10 +112,10 @@
     async def play() -> bytes:
         world = world_with_script("a", "m", script=answering(200, stream(1, 2)))
         now = steady_time()
-        world.runner._parts.book.add(
+        world.runner._parts.tracker.add(
             "m1", Allocation("g1", 3000, is_copy=True, resumes_at=now + 0.3)
         )
-        world.runner._parts.book.add(
+        world.runner._parts.tracker.add(
             "m1", Allocation("g2", 3000, is_copy=True, resumes_at=now + 0.6)
         )
         return (await world.run(RequestKind.STREAM, output_tokens=10)).body
--- a/reachlink/requests/tests/test_held.py
+++ b/reachlink/requests/tests/test_held.py
@@ -43,7 +43,7 @@
         await asyncio.sleep(0.0)
         # The replicas are healthy again, as after successes of other requests.
         for name in setup.zones:
-            setup.book.state(name).health.on_success(setup.now())
+            setup.tracker.state(name).health.on_success(setup.now())
     return [one.replica for one in setup.adapter.sent]
 
 
--- a/reachlink/requests/tests/test_paces.py
+++ b/reachlink/requests/tests/test_paces.py
@@ -57,7 +57,7 @@
 def paces(made: World, service: str, names: str) -> list[float]:
     """Return the steady pace of some replicas; pace-aware scheduling must be on."""
     found = [
-        made.book.paces.pace_if_reported(service, name, made.parts.clock())
+        made.tracker.paces.pace_if_reported(service, name, made.parts.clock())
         for name in names.split()
     ]
     return [(pace or NOMINAL_PACE).steady for pace in found]
@@ -97,7 +97,7 @@
     made = world_with_script("a", script=telling(1.2))
     play(made, RequestKind.REPEATABLE)
     assert paces(made, "plain", "p1") == [1.2]
-    made.book.reset_replica("p1")
+    made.tracker.reset_replica("p1")
     assert paces(made, "plain", "p1") == [1.0]
 
 
@@ -202,7 +202,7 @@
     made = world("a a", p1=[telling(1.0)], p2=[waits])
     play(made, RequestKind.REPEATABLE, rounds=10)
     assert {s.replica for s in made.adapter.sent} == {"p1", "p2"}
-    assert made.book.paces.count == 1
+    assert made.tracker.paces.count == 1
 
 
 # A replica that reports to be fast is among the two drawn of four with probability 7/16.
--- a/reachlink/requests/tests/test_paces_beside_callers.py
+++ b/reachlink/requests/tests/test_paces_beside_callers.py
@@ -73,8 +73,8 @@
     made.parts.clock = loop_time
     for number in range(16):
         for other in ("m2", "m3"):
-            made.book.paces.record_reported("model", other, 1.0, -5.0 + 0.3 * number)
-            made.book.paces.record_measured("model", other, 1.0, -5.0 + 0.3 * number)
+            made.tracker.paces.record_reported("model", other, 1.0, -5.0 + 0.3 * number)
+            made.tracker.paces.record_measured("model", other, 1.0, -5.0 + 0.3 * number)
 
     async def play() -> float:
         request = made.request(RequestKind.STREAM, 2000, 2000)
--- a/reachlink/requests/tests/test_paces_beside_room.py
+++ b/reachlink/requests/tests/test_paces_beside_room.py
@@ -37,7 +37,7 @@
         p2=[telling(None, WORK_S, answer)],
     )
     made.parts.clock = loop_time
-    made.book.paces.record_reported("plain", "p1", 1.0, -1.0)
+    made.tracker.paces.record_reported("plain", "p1", 1.0, -1.0)
     budget = BufferBudget(6 * MB)
 
     async def work() -> float:
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -110,12 +110,12 @@
     setup.parts.retry_limits = RetryLimits(0.0, 0.0)
     # More load at the last replica, so that it is tried last.
     for _ in range(5):
-        setup.book.add(last, Allocation("other", 10, 0))
+        setup.tracker.add(last, Allocation("other", 10, 0))
     asyncio.run(setup.run(kind, max_attempts=1))
     assert sent_to(setup)[-1] == last
     assert set(sent_to(setup)) == set(setup.zones)
     assert setup.outcomes == ["delivered"]
-    assert all(setup.book.state(name).health.failures == 0.0 for name in setup.zones)
+    assert all(setup.tracker.state(name).health.failures == 0.0 for name in setup.zones)
 
 
 def test_the_reason_of_a_hold_is_reported_even_if_a_permit_has_become_available():
--- a/reachlink/requests/tests/test_refusing.py
+++ b/reachlink/requests/tests/test_refusing.py
@@ -70,7 +70,7 @@
 def test_a_refusal_counts_neither_as_a_failure_nor_as_a_crash():
     calls = Calls(world("a a a", p1=[NOT_RUN]), 100.0)
     asyncio.run(calls.make(100, RequestKind.ONCE))
-    assert calls.setup.book.state("p1").health.failures == 0.0
+    assert calls.setup.tracker.state("p1").health.failures == 0.0
     assert not calls.setup.adapter.touched
 
 
--- a/reachlink/requests/tests/test_replica_bytes.py
+++ b/reachlink/requests/tests/test_replica_bytes.py
@@ -113,7 +113,7 @@
         await running
         assert sink.body == b"a" * MB + b"b" * MB
         assert budget.bytes_of(BufferKind.ANSWER) == 2 * MB
-        assert world.book.state("p1").health.failures == 0.0
+        assert world.tracker.state("p1").health.failures == 0.0
 
     asyncio.run(work())
 
--- a/reachlink/requests/tests/test_runner.py
+++ b/reachlink/requests/tests/test_runner.py
@@ -180,7 +180,7 @@
 
     asyncio.run(scenario())
     assert setup.outcomes == ["cancelled"]
-    assert all(not setup.book.state(n).allocations for n in setup.zones)
+    assert all(not setup.tracker.state(n).allocations for n in setup.zones)
 
 
 MISDIRECTED = answering(421, not_run=True, misdirected=True)
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -221,7 +221,7 @@
     def __post_init__(self) -> None:
         self.directory = ReplicaDirectory()
         self.list_replicas()
-        self.book = ReplicaTracker()
+        self.tracker = ReplicaTracker()
         self.shared = PeerLoad()
         self.shutdown_times = ShutdownTimes()
         self.quarantine = Quarantine(Random(1))
@@ -231,7 +231,7 @@
             "a",
             self.adapter,
             self.directory,
-            self.book,
+            self.tracker,
             self.shared,
             Random(1),
             lambda request, code, duration: self.outcomes.append(code),
