--- a/benchmarks/bench_decision.py
+++ b/benchmarks/bench_decision.py
@@ -46,16 +46,18 @@
     directory = ReplicaDirectory()
     listed = [ListedInstance(n, "chat", f"z{i % 3}", f"{n}:1") for i, n in enumerate(names)]
     directory.update(listed, 0.0)
-    shared = PeerLoad()
+    peer_load = PeerLoad()
     for peer in range(peers):
         shares = [
             ReplicaUsage(name, running=1, tokens=random.randint(2000, 6000), used_tokens=2000)
             for name in random.sample(names, replicas // 5)
         ]
-        shared.update(LoadUpdate(f"e{peer}", shares), time.monotonic())
+        peer_load.update(LoadUpdate(f"e{peer}", shares), time.monotonic())
     unused: Any = None
     return Placer(
-        RunnerParts("z0", unused, directory, ReplicaTracker(), shared, random, lambda *told: None)
+        RunnerParts(
+            "z0", unused, directory, ReplicaTracker(), peer_load, random, lambda *told: None
+        )
     )
 
 
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -69,7 +69,7 @@
         Message bus on which the members' updates and queries arrive.
     tracker : ReplicaTracker
         Load and health of the replicas as seen by this instance.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Load of all other instances: the other coordinators with their members, and the
         members of this one.
     directory : ReplicaDirectory
@@ -101,7 +101,7 @@
         name: str,
         bus: Bus,
         tracker: ReplicaTracker,
-        shared: PeerLoad,
+        peer_load: PeerLoad,
         directory: ReplicaDirectory,
         placing: Placer,
         services: Callable[[], list[Service]],
@@ -117,7 +117,7 @@
         self._name = name
         self._queue_owner = queue_owner
         self._tracker = tracker
-        self._shared = shared
+        self._peer_load = peer_load
         self._directory = directory
         self._placing = placing
         self._services = services
@@ -157,7 +157,7 @@
         oldest = self._clock() - MEMBER_TIMEOUT_S
         for name in [n for n, at in self._members.items() if at < oldest]:
             del self._members[name]
-            self._shared.forget(name)
+            self._peer_load.forget(name)
         return list(self._members)
 
     def add_member_usages(self, own: list[ReplicaUsage]) -> list[ReplicaUsage]:
@@ -167,7 +167,7 @@
             return own
         found: dict[str, list[ReplicaUsage]] = {usage.replica: [usage] for usage in own}
         for name in members:
-            for usage in self._shared.usages_of(name, self._clock()):
+            for usage in self._peer_load.usages_of(name, self._clock()):
                 found.setdefault(usage.replica, []).append(usage)
         return [sum_usages(usages) for usages in found.values()]
 
@@ -206,7 +206,7 @@
         if name not in self._members:
             self._log.info("member_follows", member=name)
         self._members[name] = now
-        self._shared.update(update.load, now)
+        self._peer_load.update(update.load, now)
         self._apply_reports(update.load.reports)
         self._quarantine.apply_update(update.load.quarantine)
         self._limits.apply_updates(update.load.limits)
@@ -240,7 +240,7 @@
         if replica is None:
             return None
         now = self._clock()
-        self._shared.add(query.instance, query.usage_at(replica.name), now)
+        self._peer_load.add(query.instance, query.usage_at(replica.name), now)
         self._tracker.notify_listeners()
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
@@ -291,7 +291,7 @@
         own = {usage.replica: usage for usage in self._tracker.usages(now)}
         found = []
         for replica in replicas:
-            usage = self._shared.usage_at(replica.name, now, without=member)
+            usage = self._peer_load.usage_at(replica.name, now, without=member)
             if replica.name in own:
                 usage = sum_usages([usage, own[replica.name]])
             found.append(usage if replica.name in occupied else with_aggregated_copies(usage))
--- a/reachlink/coordination/_member.py
+++ b/reachlink/coordination/_member.py
@@ -68,7 +68,7 @@
         Message bus to the coordinators.
     tracker : ReplicaTracker
         Allocations of this instance at the replicas.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Load of the other instances, updated from the snapshots.
     directory : ReplicaDirectory
         Replicas that exist, updated from the snapshots.
@@ -94,7 +94,7 @@
         name: str,
         bus: Bus,
         tracker: ReplicaTracker,
-        shared: PeerLoad,
+        peer_load: PeerLoad,
         directory: ReplicaDirectory,
         apply_reports: Callable[[Iterable[ReplicaReport]], None],
         own_reports: Callable[[], list[ReplicaReport]],
@@ -108,7 +108,7 @@
         self._name = name
         self._bus = bus
         self._tracker = tracker
-        self._shared = shared
+        self._peer_load = peer_load
         self._directory = directory
         self._apply_reports = apply_reports
         self._own_reports = own_reports
@@ -259,14 +259,14 @@
         now = self._clock()
         before = self._snapshot
         if before is not None and before.coordinator != snapshot.coordinator:
-            self._shared.forget(before.coordinator)
+            self._peer_load.forget(before.coordinator)
         if before is None or before.coordinator != snapshot.coordinator:
             self._log.info("coordinator_followed", coordinator=snapshot.coordinator)
         self._snapshot, self._snapshot_at = snapshot, now
         if snapshot.full:
             self._usages, self._full_snapshot_at = {}, now
         self._usages.update((usage.replica, usage) for usage in snapshot.usages)
-        self._shared.update(LoadUpdate(snapshot.coordinator, list(self._usages.values())), now)
+        self._peer_load.update(LoadUpdate(snapshot.coordinator, list(self._usages.values())), now)
         if snapshot.replica_list:
             self._has_replica_list = True
             self._directory.update(to_listed_instances(snapshot.replica_list), now)
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -41,7 +41,7 @@
         Chooses the replica for a request.
     tracker : ReplicaTracker
         Notified of grants to requests of other instances, so that an update is sent.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Load of the other instances, to which grants are added.
     directory : ReplicaDirectory
         Replicas that exist.
@@ -58,7 +58,7 @@
         name: str,
         placing: Placer,
         tracker: ReplicaTracker,
-        shared: PeerLoad,
+        peer_load: PeerLoad,
         directory: ReplicaDirectory,
         outcomes: QueueOutcomes,
         clock: Callable[[], float],
@@ -68,8 +68,8 @@
         self._random = random
         self._placing = placing
         self._tracker = tracker
-        self._shared = shared
-        self._recent_grants = RecentGrants(shared, clock)
+        self._peer_load = peer_load
+        self._recent_grants = RecentGrants(peer_load, clock)
         self._directory = directory
         self._outcomes = outcomes
         self._clock = clock
@@ -208,7 +208,7 @@
             self._recent_grants.add(query.instance, query.usage_at(name))
             self._tracker.notify_listeners()
         else:
-            self._shared.add(self._name, query.usage_at(name), self._clock())
+            self._peer_load.add(self._name, query.usage_at(name), self._clock())
         return ListedReplica(
             replica.name, replica.upstream, replica.availability_zone, replica.address, False
         )
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -62,7 +62,7 @@
         Chooses the replica for a request.
     tracker : ReplicaTracker
         Notifies this instance of changes of its own requests at the replicas.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Load of the other instances, to which grants are added.
     directory : ReplicaDirectory
         Replicas that exist.
@@ -83,7 +83,7 @@
         name: str,
         placing: Placer,
         tracker: ReplicaTracker,
-        shared: PeerLoad,
+        peer_load: PeerLoad,
         directory: ReplicaDirectory,
         services: Callable[[], list[Service]],
         count: Callable[[str, str], None] = lambda service, outcome: None,
@@ -92,14 +92,14 @@
     ) -> None:
         self._name = name
         self._placing = placing
-        self._shared = shared
+        self._peer_load = peer_load
         self._directory = directory
         self._services = services
         self._clock = clock
         random = random or Random()
         self._outcomes = QueueOutcomes(count, clock, random)
         self._grants = QueueGrants(
-            name, placing, tracker, shared, directory, self._outcomes, clock, random
+            name, placing, tracker, peer_load, directory, self._outcomes, clock, random
         )
         self._queues: dict[str, ServiceQueue] = {}
         self._changed = asyncio.Event()
@@ -154,7 +154,7 @@
             self.leave(query.service, query.request_id)
             raise
         # From here on the allocation of the request counts instead of the grant.
-        self._shared.forget(self._name)
+        self._peer_load.forget(self._name)
         return reply
 
     def leave(self, service: str, request_id: str) -> None:
--- a/reachlink/coordination/_recent_grants.py
+++ b/reachlink/coordination/_recent_grants.py
@@ -23,14 +23,14 @@
 
     Parameters
     ----------
-    shared : PeerLoad
+    peer_load : PeerLoad
         Load of the other instances.
     clock : callable
         Returns the monotonic time in seconds.
     """
 
-    def __init__(self, shared: PeerLoad, clock: Callable[[], float]) -> None:
-        self._shared = shared
+    def __init__(self, peer_load: PeerLoad, clock: Callable[[], float]) -> None:
+        self._peer_load = peer_load
         self._clock = clock
         self._grants: deque[tuple[float, ReplicaUsage]] = deque()
         self._expiry_timer: asyncio.TimerHandle | None = None
@@ -38,9 +38,9 @@
     def add(self, instance: str, usage: ReplicaUsage) -> None:
         """Add the load that a grant to an instance puts on a replica."""
         now = self._clock()
-        if now - self._shared.last_heard(instance) < REPORTS_HERE_S:
+        if now - self._peer_load.last_heard(instance) < REPORTS_HERE_S:
             # The next update of the instance replaces this load.
-            self._shared.add(instance, usage, now)
+            self._peer_load.add(instance, usage, now)
             return
         self._grants.append((now + GRANT_COUNTED_S, usage))
         self._update_total(now)
@@ -56,7 +56,7 @@
         usages: dict[str, list[ReplicaUsage]] = {}
         for _, usage in self._grants:
             usages.setdefault(usage.replica, []).append(usage)
-        self._shared.update(
+        self._peer_load.update(
             LoadUpdate(RECENT_GRANTS, [sum_usages(found) for found in usages.values()]), now
         )
         if self._grants and self._expiry_timer is None:
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -21,8 +21,8 @@
 
     m2, now = asyncio.run(scenario())
     assert sorted(r.name for r in m2.directory.live("chat")) == ["r1", "r2"]
-    assert m2.shared.usage_at("r1", now).tokens == 9_000
-    assert m2.shared.usage_at("r2", now).tokens == 4_000
+    assert m2.peer_load.usage_at("r1", now).tokens == 9_000
+    assert m2.peer_load.usage_at("r2", now).tokens == 4_000
 
 
 def test_partial_snapshot_contains_only_replicas_with_own_requests():
@@ -34,10 +34,10 @@
         c1.start_request("r1", 1_000)
         c1.start_request("r2", 2_000)
         await m1.poll_coordinator()
-        between = [m1.shared.usage_at(name, network.now).tokens for name in ("r1", "r2")]
+        between = [m1.peer_load.usage_at(name, network.now).tokens for name in ("r1", "r2")]
         network.now += 1.0
         await m1.poll_coordinator()
-        return between, [m1.shared.usage_at(name, network.now).tokens for name in ("r1", "r2")]
+        return between, [m1.peer_load.usage_at(name, network.now).tokens for name in ("r1", "r2")]
 
     between, later = asyncio.run(scenario())
     assert between == [1_000, 4_000]
@@ -61,7 +61,7 @@
         m1.start_request("r1")
         await m1.poll_coordinator()
         await m1.poll_coordinator()
-        return m1.shared.usage_at("r1", network.now)
+        return m1.peer_load.usage_at("r1", network.now)
 
     share = asyncio.run(scenario())
     assert (share.running, share.tokens) == (0, 0)
@@ -85,7 +85,7 @@
         answer = await m1.member.ask(make_query())
         m1.start_request(answer.replica.name)
         await m1.poll_coordinator()
-        return c1.shared.usage_at(answer.replica.name, network.now)
+        return c1.peer_load.usage_at(answer.replica.name, network.now)
 
     share = asyncio.run(scenario())
     assert (share.running, share.tokens) == (1, 9_000)
--- a/reachlink/coordination/tests/test_limit_exchange.py
+++ b/reachlink/coordination/tests/test_limit_exchange.py
@@ -33,7 +33,7 @@
     for one in fleet:
         for other in fleet:
             if other is not one and other.record.name not in one.network.silent:
-                one.shared._last_heard[other.record.name] = one.network.now
+                one.peer_load._last_heard[other.record.name] = one.network.now
 
 
 def by_rank(fleet: list[Instance]) -> list[Instance]:
--- a/reachlink/coordination/tests/test_queue.py
+++ b/reachlink/coordination/tests/test_queue.py
@@ -53,7 +53,7 @@
     for sender in chosen:
         for receiver in chosen:
             if receiver is not sender:
-                receiver.shared.update(make_load_update(sender, now), now)
+                receiver.peer_load.update(make_load_update(sender, now), now)
 
 
 def make_load_update(sender: Instance, now: float) -> LoadUpdate:
@@ -194,10 +194,10 @@
         network, chosen, (m1, _) = make_fleet(queues=True)
         owner = owner_of(m1, chosen, network.now)
         answer = await m1.member.ask(make_queued_query("id-1"))
-        at_once = owner.shared.usage_at(answer.replica.name, network.now).tokens
+        at_once = owner.peer_load.usage_at(answer.replica.name, network.now).tokens
         network.now += 0.3
         await asyncio.sleep(0.3)
-        return at_once, owner.shared.usage_at(answer.replica.name, network.now).tokens
+        return at_once, owner.peer_load.usage_at(answer.replica.name, network.now).tokens
 
     assert run_scenario(scenario()) == (9_000, 0)
 
@@ -206,14 +206,14 @@
     async def scenario():
         network, chosen, (m1, _) = make_fleet(queues=True)
         owner = owner_of(m1, chosen, network.now)
-        owner.shared.update(make_load_update(m1, network.now), network.now)
+        owner.peer_load.update(make_load_update(m1, network.now), network.now)
         answer = await m1.member.ask(make_queued_query("id-1"))
         network.now += 0.5
         await asyncio.sleep(0.5)
-        before = owner.shared.usage_at(answer.replica.name, network.now).tokens
+        before = owner.peer_load.usage_at(answer.replica.name, network.now).tokens
         m1.start_request(answer.replica.name, 9_000)
-        owner.shared.update(make_load_update(m1, network.now), network.now)
-        return before, owner.shared.usage_at(answer.replica.name, network.now).tokens
+        owner.peer_load.update(make_load_update(m1, network.now), network.now)
+        return before, owner.peer_load.usage_at(answer.replica.name, network.now).tokens
 
     assert run_scenario(scenario()) == (9_000, 9_000)
 
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -66,7 +66,7 @@
             update = LoadUpdate(sender.record.name, sender.tracker.usages(self.network.now))
             for receiver in reachable:
                 if receiver is not sender:
-                    receiver.shared.update(update, self.network.now)
+                    receiver.peer_load.update(update, self.network.now)
 
     def make_room(self) -> None:
         """End all requests that fill the replicas at the start."""
--- a/reachlink/coordination/tests/test_queue_grants.py
+++ b/reachlink/coordination/tests/test_queue_grants.py
@@ -172,15 +172,15 @@
 def test_each_grant_counts_for_its_own_time_only():
     async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        shared = PeerLoad()
-        grants = RecentGrants(shared, loop.time)
+        peer_load = PeerLoad()
+        grants = RecentGrants(peer_load, loop.time)
         counts = []
         for _ in range(2):
             grants.add("m1", ReplicaUsage("r1", running=1, tokens=1_000))
-            counts.append(shared.usage_at("r1", loop.time()).tokens)
+            counts.append(peer_load.usage_at("r1", loop.time()).tokens)
             await asyncio.sleep(0.8 * GRANT_COUNTED_S)
         for _ in range(2):
-            counts.append(shared.usage_at("r1", loop.time()).tokens)
+            counts.append(peer_load.usage_at("r1", loop.time()).tokens)
             await asyncio.sleep(0.25 * GRANT_COUNTED_S)
         assert counts == [1_000, 2_000, 1_000, 0]
 
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -104,7 +104,7 @@
         self.record = InstanceRecord(name, name, zone)
         self.network = network
         self.tracker = ReplicaTracker()
-        self.shared = PeerLoad()
+        self.peer_load = PeerLoad()
         self.directory = ReplicaDirectory()
         self.selector = CoordinatorSelector(name, zone)
         self.news: list[object] = []
@@ -123,7 +123,7 @@
             bus,  # type: ignore[arg-type]
             self.pacing.limits,
             self.directory,
-            self.shared.last_heard,
+            self.peer_load.last_heard,
             Random(1),
             clock=self.clock,
         )
@@ -133,7 +133,7 @@
             name,
             bus,  # type: ignore[arg-type]
             self.tracker,
-            self.shared,
+            self.peer_load,
             self.directory,
             self.news.extend,
             list,
@@ -148,7 +148,7 @@
             FakeAdapter(),
             self.directory,
             self.tracker,
-            self.shared,
+            self.peer_load,
             Random(1),
             lambda *outcome: None,
             ask_coordinator=self.member.ask,
@@ -165,7 +165,7 @@
             name,
             bus,  # type: ignore[arg-type]
             self.tracker,
-            self.shared,
+            self.peer_load,
             self.directory,
             self.placing,
             lambda: [SERVICE],
@@ -186,7 +186,7 @@
             self.record.name,
             self.placing,
             self.tracker,
-            self.shared,
+            self.peer_load,
             self.directory,
             lambda: [SERVICE],
             lambda service, outcome: self.queue_outcomes.append(outcome),
--- a/reachlink/entry/_isolation.py
+++ b/reachlink/entry/_isolation.py
@@ -48,7 +48,7 @@
     ----------
     zone : str
         This instance's availability zone.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Knows when each instance was heard last.
     answered_at : callable
         Returns when a replica of a zone answered last, in monotonic seconds.
@@ -57,11 +57,11 @@
     def __init__(
         self,
         zone: str,
-        shared: PeerLoad,
+        peer_load: PeerLoad,
         answered_at: Callable[[str], float] = lambda zone: float("-inf"),
     ) -> None:
         self._zone = zone
-        self._shared = shared
+        self._peer_load = peer_load
         self._answered_at = answered_at
         self._peers: dict[str, _Peer] = {}
 
@@ -108,4 +108,4 @@
 
     def _is_heard(self, name: str, peer: _Peer, now: float) -> bool:
         # One that is new has as long to be heard first as the others may be silent.
-        return now - max(peer.since, self._shared.last_heard(name)) <= SILENT_S
+        return now - max(peer.since, self._peer_load.last_heard(name)) <= SILENT_S
--- a/reachlink/entry/_load_teller.py
+++ b/reachlink/entry/_load_teller.py
@@ -35,7 +35,7 @@
         Counts changes that the others should know soon.
     shares : callable
         Returns the requests of this instance and its members.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Where the others' requests are noted.
     reports : ReportReader
         Reads replicas' reports, and takes what the others read.
@@ -57,7 +57,7 @@
         bus: Bus,
         tracker: ReplicaTracker,
         shares: Callable[[], list[ReplicaUsage]],
-        shared: PeerLoad,
+        peer_load: PeerLoad,
         reports: ReportReader,
         listed: ListNews,
         quarantine: QuarantineExchange,
@@ -68,7 +68,7 @@
         self._name = name
         self._bus = bus
         self._shares = shares
-        self._shared = shared
+        self._peer_load = peer_load
         self._reports = reports
         self._listed = listed
         self._quarantine = quarantine
@@ -136,7 +136,7 @@
 
     async def _on_note(self, sender: str, body: bytes) -> None:
         note = decode(body, LoadUpdate)
-        self._shared.update(note, self._clock())
+        self._peer_load.update(note, self._clock())
         self._reports.take(note.reports)
         self._listed.take(note.listed)
         self._quarantine.apply_update(note.quarantine)
--- a/reachlink/entry/_relay_node.py
+++ b/reachlink/entry/_relay_node.py
@@ -74,7 +74,7 @@
             unconfirmed_mark_s=config.leaving_mark_s, pacing=self.client.pacing
         )
         self.tracker = ReplicaTracker(PaceTracker(config.scheduling.pace))
-        self.shared = PeerLoad()
+        self.peer_load = PeerLoad()
         self.quarantine = Quarantine(Random(), config.crashes_to_hold, config.crashes_kept_s)
         self.crash_news = QuarantineExchange(self.bus, self.quarantine, Random())
         self.limits = LimitExchange(
@@ -82,7 +82,7 @@
             self.bus,
             self.client.pacing.limits,
             self.directory,
-            self.shared.last_heard,
+            self.peer_load.last_heard,
             Random(),
             lambda outcome: self.metrics.permits.add(1, {"outcome": outcome}),
         )
@@ -110,7 +110,7 @@
             config.name,
             self.bus,
             self.tracker,
-            self.shared,
+            self.peer_load,
             self.directory,
             self.reports.take,
             self.reports.news,
@@ -125,7 +125,7 @@
             self.bus,
             self.tracker,
             self._shares,
-            self.shared,
+            self.peer_load,
             self.reports,
             self.listed,
             self.crash_news,
@@ -133,7 +133,9 @@
             self.paces,
             steady_time,
         )
-        self._isolation = Isolation(config.availability_zone, self.shared, self._zone_answered_at)
+        self._isolation = Isolation(
+            config.availability_zone, self.peer_load, self._zone_answered_at
+        )
         self._reach = ZoneReach(
             config.availability_zone,
             self.selector,
@@ -163,7 +165,7 @@
                 adapter=adapter,
                 directory=self.directory,
                 tracker=self.tracker,
-                shared=self.shared,
+                peer_load=self.peer_load,
                 random=Random(),
                 on_outcome=RequestEnds(self.metrics, self._table).note,
                 retry_limits=RetryLimits(config.retry_share, config.retry_burst),
@@ -186,7 +188,7 @@
             config.name,
             self.bus,
             self.tracker,
-            self.shared,
+            self.peer_load,
             self.directory,
             self._runner.placer,
             self._engine_services,
@@ -211,7 +213,7 @@
             self.config.name,
             self._runner.placer,
             self.tracker,
-            self.shared,
+            self.peer_load,
             self.directory,
             self._engine_services,
             self.metrics.count_in_line,
@@ -365,7 +367,7 @@
         A replica that is replaced each 3 s leaves 28,800 states of some 1 KB a day.
         """
         self.tracker.forget_gone(self.directory.names)
-        self.shared.forget_silent(steady_time())
+        self.peer_load.forget_silent(steady_time())
 
     async def on_settings(self) -> None:
         """Put what the newer settings say in force."""
--- a/reachlink/entry/tests/test_isolation.py
+++ b/reachlink/entry/tests/test_isolation.py
@@ -16,26 +16,26 @@
 
 
 def isolation(*peers: InstanceRecord) -> tuple[Isolation, PeerLoad]:
-    shared = PeerLoad()
-    made = Isolation("a", shared)
+    peer_load = PeerLoad()
+    made = Isolation("a", peer_load)
     made.take_peers(peers, 10.0)
-    return made, shared
+    return made, peer_load
 
 
 def test_a_zone_that_nobody_of_the_others_tells_anything_is_cut_off():
-    made, shared = isolation(NEAR, FAR, FARTHER)
-    shared.update(LoadUpdate("e3", []), 20.0)
-    shared.update(LoadUpdate("e4", []), 20.5)
-    shared.update(LoadUpdate("e2", []), 22.0)
+    made, peer_load = isolation(NEAR, FAR, FARTHER)
+    peer_load.update(LoadUpdate("e3", []), 20.0)
+    peer_load.update(LoadUpdate("e4", []), 20.5)
+    peer_load.update(LoadUpdate("e2", []), 22.0)
     assert not made.cut_off(20.4 + SILENT_S)
     assert made.cut_off(20.6 + SILENT_S)
-    shared.update(LoadUpdate("e3", []), 30.0)
+    peer_load.update(LoadUpdate("e3", []), 30.0)
     assert not made.cut_off(30.1)
 
 
 def test_one_silent_zone_of_two_is_not_this_ones_fault():
-    made, shared = isolation(FAR, FARTHER)
-    shared.update(LoadUpdate("e3", []), 20.0)
+    made, peer_load = isolation(FAR, FARTHER)
+    peer_load.update(LoadUpdate("e3", []), 20.0)
     assert not made.cut_off(21.0)
 
 
@@ -48,9 +48,9 @@
 
 
 def test_a_zone_of_which_nobody_is_heard_is_silent_while_the_others_are_not():
-    made, shared = isolation(NEAR, FAR, FARTHER)
-    shared.update(LoadUpdate("e3", []), 20.0)
-    shared.update(LoadUpdate("e4", []), 25.0)
+    made, peer_load = isolation(NEAR, FAR, FARTHER)
+    peer_load.update(LoadUpdate("e3", []), 20.0)
+    peer_load.update(LoadUpdate("e4", []), 25.0)
     assert made.silent_zones(25.0) == {"b"}
     assert not made.cut_off(25.0)
 
@@ -98,12 +98,12 @@
 
     The control instance in this zone forgets the instances that no longer ask it.
     """
-    made, shared = isolation(NEAR, FAR)
-    shared.update(LoadUpdate("e3", []), 20.0)
+    made, peer_load = isolation(NEAR, FAR)
+    peer_load.update(LoadUpdate("e3", []), 20.0)
     assert made.cut_off(22.0)
     made.take_peers([NEAR], 22.5)
     assert made.cut_off(23.0)
-    shared.update(LoadUpdate("e3", []), 30.0)
+    peer_load.update(LoadUpdate("e3", []), 30.0)
     assert not made.cut_off(30.1)
     made.take_peers([NEAR], 30.2)
     assert not made.cut_off(60.0)
--- a/reachlink/requests/_copy_order.py
+++ b/reachlink/requests/_copy_order.py
@@ -30,7 +30,7 @@
         leaving = parts.directory.leaving(service.name, now - DEPARTURE_COPY_PRIORITY_S)
         return any(
             parts.tracker.state(name).own_unreplicated
-            or parts.shared.usage_at(name, now).unreplicated
+            or parts.peer_load.usage_at(name, now).unreplicated
             for name in leaving
         )
 
@@ -40,7 +40,7 @@
             return False
         parts = self._parts
         state = parts.tracker.state(replica.name)
-        others = parts.shared.usage_at(replica.name, parts.clock())
+        others = parts.peer_load.usage_at(replica.name, parts.clock())
         return must_evict(
             allocation.summary,
             [*state.own_evictable_copies, *others.copies],
@@ -51,6 +51,6 @@
     def departure_copy_rank(self, replica: Replica, allocation: Allocation) -> int:
         """Return the number of generations to copy from a replica before the given one."""
         parts = self._parts
-        others = parts.shared.usage_at(replica.name, parts.clock())
+        others = parts.peer_load.usage_at(replica.name, parts.clock())
         own = parts.tracker.state(replica.name).own_unreplicated
         return departure_copy_rank(allocation.summary, [*own, *others.unreplicated])
--- a/reachlink/requests/_parts.py
+++ b/reachlink/requests/_parts.py
@@ -98,7 +98,7 @@
         Known replicas.
     tracker : ReplicaTracker
         Load and health of the replicas, and the requests of this instance at them.
-    shared : PeerLoad
+    peer_load : PeerLoad
         Load of the other entry instances at the replicas.
     random : random.Random
         Random number generator, for example for breaking ties.
@@ -141,7 +141,7 @@
     adapter: RelayAdapter
     directory: Directory
     tracker: ReplicaTracker
-    shared: PeerLoad
+    peer_load: PeerLoad
     random: Random
     on_outcome: Callable[[CallerRequest, str, float], None]
     retry_limits: RetryLimits = RetryLimits()
--- a/reachlink/requests/_replica_options.py
+++ b/reachlink/requests/_replica_options.py
@@ -78,7 +78,7 @@
         now: float,
     ) -> ReplicaOption:
         engine = service.engine
-        all_shares = self._parts.shared.usage_at(replica.name, now)
+        all_shares = self._parts.peer_load.usage_at(replica.name, now)
         if state.allocations:
             all_shares = sum_usages([all_shares, state.usage(replica.name, now)])
         sampled = state.sample.slots if state.sample else 0
--- a/reachlink/requests/_replica_pace.py
+++ b/reachlink/requests/_replica_pace.py
@@ -30,7 +30,7 @@
         parts = self._parts
         if parts.tracker.state(replica.name).own_unread_tokens:
             return True
-        return parts.shared.usage_at(replica.name, parts.clock()).unread_tokens > 0
+        return parts.peer_load.usage_at(replica.name, parts.clock()).unread_tokens > 0
 
     def note_event_interval(self, request: CallerRequest, replica: Replica, event_s: float) -> None:
         """Record the interval between events of a generation while no prompt is processed.
@@ -49,7 +49,7 @@
             return
         now = parts.clock()
         state = parts.tracker.state(replica.name)
-        others = parts.shared.usage_at(replica.name, now).running
+        others = parts.peer_load.usage_at(replica.name, now).running
         running = state.running(now, state.own_running + others)
         usual_s = nominal_event_interval_s(running, engine.tokens_per_event)
         parts.tracker.paces.record_measured(replica.upstream, replica.name, event_s / usual_s, now)
--- a/reachlink/requests/tests/test_departures.py
+++ b/reachlink/requests/tests/test_departures.py
@@ -86,12 +86,12 @@
     tracker.add("r1", Allocation("g2", 3000, is_copy=True, resumes_at=9.0))
     (usage,) = tracker.usages(10.0)
     assert usage.resumes_in_s == 2.0
-    shared = PeerLoad()
-    shared.update(LoadUpdate("e1", [usage]), 10.1)
-    shared.update(LoadUpdate("e2", [ReplicaUsage("r1", 1, 3000, resumes_in_s=1.0)]), 10.1)
-    assert shared.usage_at("r1", 10.6).resumes_in_s == pytest.approx(0.5)
-    assert shared.usage_at("r1", 11.6).resumes_in_s == pytest.approx(0.5)
-    assert shared.usage_at("r1", 12.9).resumes_in_s is None
+    peer_load = PeerLoad()
+    peer_load.update(LoadUpdate("e1", [usage]), 10.1)
+    peer_load.update(LoadUpdate("e2", [ReplicaUsage("r1", 1, 3000, resumes_in_s=1.0)]), 10.1)
+    assert peer_load.usage_at("r1", 10.6).resumes_in_s == pytest.approx(0.5)
+    assert peer_load.usage_at("r1", 11.6).resumes_in_s == pytest.approx(0.5)
+    assert peer_load.usage_at("r1", 12.9).resumes_in_s is None
 
 
 def test_prompt_waits_until_generation_has_resumed_and_is_not_refused():
--- a/reachlink/requests/tests/test_moves_under_way.py
+++ b/reachlink/requests/tests/test_moves_under_way.py
@@ -59,7 +59,7 @@
         running = asyncio.create_task(made.run(RequestKind.STREAM))
         primary, target = await first_order(made)
         crowd = ReplicaUsage(target, 9, 36_000, 0, 36_000)
-        made.shared.update(LoadUpdate("e2", [crowd]), loop_time())
+        made.peer_load.update(LoadUpdate("e2", [crowd]), loop_time())
         await asyncio.sleep(0.06)
         made.list_replicas(primary)
         return primary, target, await running
@@ -77,7 +77,7 @@
         _, target = await first_order(made)
         for _ in range(10):
             crowd = ReplicaUsage(target, 9, 36_000, 0, 36_000)
-            made.shared.update(LoadUpdate("e2", [crowd]), loop_time())
+            made.peer_load.update(LoadUpdate("e2", [crowd]), loop_time())
             await asyncio.sleep(0.1)
         running.cancel()
         await asyncio.wait({running})
--- a/reachlink/requests/tests/test_moving.py
+++ b/reachlink/requests/tests/test_moving.py
@@ -187,7 +187,7 @@
         await wait_until(lambda: setup.adapter.moves)
         _, target, _ = setup.adapter.moves[0]
         others = ReplicaUsage(target, 9, 36_000, 0, 36_000)
-        setup.shared.update(LoadUpdate("e2", [others]), loop_time())
+        setup.peer_load.update(LoadUpdate("e2", [others]), loop_time())
         await wait_until(lambda: setup.adapter.released)
         running.cancel()
         await asyncio.wait({running})
@@ -224,7 +224,7 @@
         now = loop_time()
         waiting = ReplicaUsage(other, 1, 4000, unreplicated=(AllocationSummary(9, 4000, 50),))
         setup.directory.mark_leaving(other, LeavingSource.CLOSING, now)
-        setup.shared.update(LoadUpdate("e2", [waiting]), now)
+        setup.peer_load.update(LoadUpdate("e2", [waiting]), now)
         await running
 
     run_virtually(scenario())
@@ -238,7 +238,7 @@
     async def scenario():
         now = loop_time()
         usages = [ReplicaUsage(name, 0, 0, pending_transfers=1) for name in setup.zones]
-        setup.shared.update(LoadUpdate("e2", usages), now)
+        setup.peer_load.update(LoadUpdate("e2", usages), now)
         await setup.run(RequestKind.STREAM)
 
     run_virtually(scenario())
--- a/reachlink/requests/tests/world.py
+++ b/reachlink/requests/tests/world.py
@@ -222,7 +222,7 @@
         self.directory = ReplicaDirectory()
         self.list_replicas()
         self.tracker = ReplicaTracker()
-        self.shared = PeerLoad()
+        self.peer_load = PeerLoad()
         self.shutdown_times = ShutdownTimes()
         self.quarantine = Quarantine(Random(1))
         self.pacing = PacingTracker(Random(1))
@@ -232,7 +232,7 @@
             self.adapter,
             self.directory,
             self.tracker,
-            self.shared,
+            self.peer_load,
             Random(1),
             lambda request, code, duration: self.outcomes.append(code),
             shutdown_times=self.shutdown_times,
