--- a/benchmarks/bench_decision.py
+++ b/benchmarks/bench_decision.py
@@ -39,8 +39,8 @@
 )
 
 
-def placing(replicas: int, peers: int) -> Placer:
-    """Return a placing that knows replicas and the shares of other instances."""
+def make_placer(replicas: int, peers: int) -> Placer:
+    """Return a placer that knows replicas and the load of other instances."""
     random = Random(1)
     names = [f"r{n}" for n in range(replicas)]
     directory = ReplicaDirectory()
@@ -102,13 +102,13 @@
     parser.add_argument("--peers", type=int, default=PEERS)
     parser.add_argument("--decisions", type=int, default=DECISIONS)
     words = parser.parse_args()
-    place = placing(words.replicas, words.peers)
+    placer = make_placer(words.replicas, words.peers)
     relay = RelayRequest("id", "POST", "/c/", [], b"", generation=GenerationFacts("m", 3000, 900))
     request = CallerRequest(relay, ROUTE, SERVICE, time.monotonic(), 39.0)
     began = time.process_time()
-    question = place.query(request, set(), avoid_resuming=True)
+    question = placer.query(request, set(), avoid_resuming=True)
     for _ in range(words.decisions):
-        place.decide(request.service, question)
+        placer.decide(request.service, question)
     mean_us = (time.process_time() - began) / words.decisions * 1e6
     figures = {
         "replicas": words.replicas,
--- a/reachlink/coordination/_coordinator.py
+++ b/reachlink/coordination/_coordinator.py
@@ -74,7 +74,7 @@
         members of this one.
     directory : ReplicaDirectory
         Replicas that exist.
-    placing : Placer
+    placer : Placer
         Chooses the replica for a request.
     services : callable
         Returns the services that are served by model engines.
@@ -103,7 +103,7 @@
         tracker: ReplicaTracker,
         peer_load: PeerLoad,
         directory: ReplicaDirectory,
-        placing: Placer,
+        placer: Placer,
         services: Callable[[], list[Service]],
         apply_reports: Callable[[Iterable[ReplicaReport]], None],
         quarantine: QuarantineExchange,
@@ -119,7 +119,7 @@
         self._tracker = tracker
         self._peer_load = peer_load
         self._directory = directory
-        self._placing = placing
+        self._placer = placer
         self._services = services
         self._apply_reports = apply_reports
         self._quarantine = quarantine
@@ -236,7 +236,7 @@
         service = next((s for s in self._services() if s.name == query.service), None)
         if service is None:
             return None
-        replica = self._placing.decide(service, query)
+        replica = self._placer.decide(service, query)
         if replica is None:
             return None
         now = self._clock()
--- a/reachlink/coordination/_queue_grants.py
+++ b/reachlink/coordination/_queue_grants.py
@@ -37,7 +37,7 @@
     ----------
     name : str
         Name of this instance.
-    placing : Placer
+    placer : Placer
         Chooses the replica for a request.
     tracker : ReplicaTracker
         Notified of grants to requests of other instances, so that an update is sent.
@@ -56,7 +56,7 @@
     def __init__(
         self,
         name: str,
-        placing: Placer,
+        placer: Placer,
         tracker: ReplicaTracker,
         peer_load: PeerLoad,
         directory: ReplicaDirectory,
@@ -66,7 +66,7 @@
     ) -> None:
         self._name = name
         self._random = random
-        self._placing = placing
+        self._placer = placer
         self._tracker = tracker
         self._peer_load = peer_load
         self._recent_grants = RecentGrants(peer_load, clock)
@@ -104,7 +104,7 @@
         queue.unfit.drop_expired(now)
         if not queue.unfit.may_fit(query):
             return False
-        if self._placing.has_room(service, query):
+        if self._placer.has_room(service, query):
             return True
         queue.unfit.add(query)
         return False
@@ -167,7 +167,7 @@
         reserved: frozenset[str],
     ) -> bool:
         excluded = (*held.query.excluded, *reserved)
-        start = self._placing.start(service, structs.replace(held.query, excluded=excluded))
+        start = self._placer.start(service, structs.replace(held.query, excluded=excluded))
         if not isinstance(start, Begin):
             queue.unfit.add(held.query)
             return False
@@ -197,7 +197,7 @@
 
     def _start_now(self, service: Service, query: PlacementQuery) -> ListedReplica | None:
         """Return the replica where a request starts now and add its load; None without room."""
-        start = self._placing.start(service, query)
+        start = self._placer.start(service, query)
         return self._reserve(query, start.replica) if isinstance(start, Begin) else None
 
     def _reserve(self, query: PlacementQuery, name: str) -> ListedReplica | None:
--- a/reachlink/coordination/_queue_owner.py
+++ b/reachlink/coordination/_queue_owner.py
@@ -58,7 +58,7 @@
     ----------
     name : str
         Name of this instance.
-    placing : Placer
+    placer : Placer
         Chooses the replica for a request.
     tracker : ReplicaTracker
         Notifies this instance of changes of its own requests at the replicas.
@@ -81,7 +81,7 @@
     def __init__(
         self,
         name: str,
-        placing: Placer,
+        placer: Placer,
         tracker: ReplicaTracker,
         peer_load: PeerLoad,
         directory: ReplicaDirectory,
@@ -91,7 +91,7 @@
         random: Random | None = None,
     ) -> None:
         self._name = name
-        self._placing = placing
+        self._placer = placer
         self._peer_load = peer_load
         self._directory = directory
         self._services = services
@@ -99,7 +99,7 @@
         random = random or Random()
         self._outcomes = QueueOutcomes(count, clock, random)
         self._grants = QueueGrants(
-            name, placing, tracker, peer_load, directory, self._outcomes, clock, random
+            name, placer, tracker, peer_load, directory, self._outcomes, clock, random
         )
         self._queues: dict[str, ServiceQueue] = {}
         self._changed = asyncio.Event()
@@ -210,7 +210,7 @@
         reserved_tokens = self._outcomes.reserved_tokens(queue.service, now)
         state = replace(state, reserved_tokens=reserved_tokens)
         current_query = structs.replace(query, need=waiting.need_at(now))
-        start = self._placing.start(service, current_query, state)
+        start = self._placer.start(service, current_query, state)
         refused = isinstance(start, Refuse) and state.ahead > 0
         if refused and self._grants.has_room(queue, service, current_query, now):
             return Wait(expected_wait_s(waiting.need, state), state.ahead)
--- a/reachlink/coordination/tests/test_coordination.py
+++ b/reachlink/coordination/tests/test_coordination.py
@@ -113,7 +113,7 @@
         await m1.poll_coordinator()
         network.silent |= {"c1", "c2"}
         answer = await m1.member.ask(make_query())
-        return answer, m1.placing.decide(SERVICE, make_query())
+        return answer, m1.placer.decide(SERVICE, make_query())
 
     answer, replica = asyncio.run(scenario())
     assert answer is None
@@ -198,7 +198,7 @@
     async def place_copy(instance: Instance):
         answer = await instance.member.ask(make_query(1_000, PlacementPurpose.DEPARTURE_COPY))
         assert answer is not None
-        return instance.placing._replica_of(answer)
+        return instance.placer._replica_of(answer)
 
     found = asyncio.run(scenario())
     assert {r.name for r in found if r is not None} <= {"r2"}
--- a/reachlink/coordination/tests/test_initial_replica_list.py
+++ b/reachlink/coordination/tests/test_initial_replica_list.py
@@ -84,7 +84,7 @@
         need = Need(tokens=9_000, prompt_tokens=3_000, give_up_in_s=30.0)
         asked = structs.replace(make_query(), hold_s=hold_s, need=need)
         answer = await member.member.ask(asked)
-        decided = member.placing.decide(SERVICE, asked)
+        decided = member.placer.decide(SERVICE, asked)
         coordinator.set_replica_list()
         return answer, decided, await member.member.ask(asked)
 
--- a/reachlink/coordination/tests/test_queue.py
+++ b/reachlink/coordination/tests/test_queue.py
@@ -226,7 +226,7 @@
         owner.start_request(answer.replica.name, 9_000)
         (option,) = [
             o
-            for o in owner.placing.options.for_service(SERVICE, set())
+            for o in owner.placer.options.for_service(SERVICE, set())
             if o.name == answer.replica.name
         ]
         return option.tokens
--- a/reachlink/coordination/tests/test_queue_failures.py
+++ b/reachlink/coordination/tests/test_queue_failures.py
@@ -84,7 +84,7 @@
         facts = GenerationFacts("m", 3000, tokens - 3000, (), 0)
         relay = RelayRequest(name, "POST", "/x", [], b"", generation=facts)
         request = CallerRequest(relay, ROUTE, SERVICE, self.network.now, TIMEOUT_S)
-        found = await QueuePlacer(instance.parts, instance.placing).place(request, set())
+        found = await QueuePlacer(instance.parts, instance.placer).place(request, set())
         if isinstance(found, Replica):
             self.placed.append((name, found.name))
             instance.start_request(found.name, tokens)
@@ -434,13 +434,13 @@
 def test_refusal_reaches_caller_with_retry_time():
     async def scenario(sim: Simulation) -> None:
         member = sim.others[0]
-        dispatch = RequestDispatcher(member.parts)
+        dispatcher = RequestDispatcher(member.parts)
         facts = GenerationFacts("m", 3000, 5000, (), 0)
         relay = RelayRequest("id-1", "POST", "/x", [], b"", generation=facts)
         request = CallerRequest(relay, ROUTE, SERVICE, sim.network.now, TIMEOUT_S)
-        attempts = dispatch.retry_policy.begin(request)
+        attempts = dispatcher.retry_policy.begin(request)
         request.refusal = Refuse(7.5)
-        error = dispatch.retry_policy.failure(request, attempts)
+        error = dispatcher.retry_policy.failure(request, attempts)
         assert isinstance(error, RequestFailedError)
         assert (error.status, error.reason) == (503, "no_room")
         assert error.retry_after_s == pytest.approx(7.5)
--- a/reachlink/coordination/tests/test_queue_grants.py
+++ b/reachlink/coordination/tests/test_queue_grants.py
@@ -142,7 +142,7 @@
             [make_queued_query(f"id-{n}", tokens=29_000 - 500 * n, hold_s=1.0) for n in range(30)],
         )
         await asyncio.sleep(0.05)
-        queue_owner, options = sim.owner.queue_owner, sim.owner.placing._options
+        queue_owner, options = sim.owner.queue_owner, sim.owner.placer._options
         assert queue_owner is not None
         with patch.object(options, "for_service", wraps=options.for_service) as compared:
             queue_owner._scan(queue_owner._queues["chat"])
@@ -157,11 +157,11 @@
     async def scenario(sim: Simulation) -> None:
         sim.ask(sim.others[0], "id-1")
         await asyncio.sleep(GRANT_RATE_KNOWN_S)
-        queue_owner, placing = sim.owner.queue_owner, sim.owner.placing
+        queue_owner, placer = sim.owner.queue_owner, sim.owner.placer
         assert queue_owner is not None
         queue_owner._scan(queue_owner._queues["chat"])
         queries = [make_queued_query(f"late-{n}", give_up_in_s=2.0, hold_s=0.0) for n in range(20)]
-        with patch.object(placing, "has_room", wraps=placing.has_room) as compared:
+        with patch.object(placer, "has_room", wraps=placer.has_room) as compared:
             answers = await asyncio.gather(*ask_all(sim, queries))
         assert all(a is not None and isinstance(a.wait_or_refuse, Refuse) for a in answers)
         assert compared.call_count <= 1
--- a/reachlink/coordination/tests/world.py
+++ b/reachlink/coordination/tests/world.py
@@ -156,7 +156,7 @@
             quarantine=self.quarantine,
             scheduling=SchedulingSettings(line=queues),
         )
-        self.placing = Placer(self.parts)
+        self.placer = Placer(self.parts)
         self.queue_outcomes: list[str] = []
         self.queue_owner = self._make_queue_owner() if queues else None
         self.silent_zones: set[str] = set()
@@ -167,7 +167,7 @@
             self.tracker,
             self.peer_load,
             self.directory,
-            self.placing,
+            self.placer,
             lambda: [SERVICE],
             self.news.extend,
             self.crash_news,
@@ -184,7 +184,7 @@
     def _make_queue_owner(self) -> QueueOwner:
         return QueueOwner(
             self.record.name,
-            self.placing,
+            self.placer,
             self.tracker,
             self.peer_load,
             self.directory,
--- a/reachlink/requests/_copy_targets.py
+++ b/reachlink/requests/_copy_targets.py
@@ -15,22 +15,22 @@
 
     Parameters
     ----------
-    dispatch : RequestDispatcher
+    dispatcher : RequestDispatcher
         Chooses replicas.
     request : CallerRequest
         Request of the generation.
     """
 
-    def __init__(self, dispatch: RequestDispatcher, request: CallerRequest) -> None:
-        self._dispatch = dispatch
-        self._placing = dispatch.placer
+    def __init__(self, dispatcher: RequestDispatcher, request: CallerRequest) -> None:
+        self._dispatcher = dispatcher
+        self._placer = dispatcher.placer
         self._request = request
         # Monotonic time in seconds until which each replica is avoided.
         self._avoided_until: dict[str, float] = {}
 
     def avoid(self, replica: Replica) -> None:
         """Avoid a replica for `AVOIDANCE_S` seconds."""
-        self._avoided_until[replica.name] = self._dispatch.now() + AVOIDANCE_S
+        self._avoided_until[replica.name] = self._dispatcher.now() + AVOIDANCE_S
 
     async def standing_copy(
         self, primary: Replica, excluded: set[str], used_tokens: int
@@ -46,7 +46,7 @@
         used_tokens : int
             Memory that the generation takes now, in tokens.
         """
-        near = self._placing.reachable.is_near(primary)
+        near = self._placer.reachable.is_near(primary)
         purpose = PlacementPurpose.STANDING_COPY if near else PlacementPurpose.LOCAL_COPY
         return await self._place(primary, excluded, used_tokens, purpose)
 
@@ -69,10 +69,10 @@
         zone: str = "",
     ) -> Replica | None:
         left_out = {primary.name, *excluded, *self._avoided()}
-        return await self._placing.place_copy(self._request, left_out, used_tokens, purpose, zone)
+        return await self._placer.place_copy(self._request, left_out, used_tokens, purpose, zone)
 
     def _avoided(self) -> set[str]:
-        now = self._dispatch.now()
+        now = self._dispatcher.now()
         still = {name: until for name, until in self._avoided_until.items() if until > now}
         self._avoided_until = still
         return set(still)
--- a/reachlink/requests/_generation_replicas.py
+++ b/reachlink/requests/_generation_replicas.py
@@ -62,7 +62,7 @@
 
     Parameters
     ----------
-    dispatch : RequestDispatcher
+    dispatcher : RequestDispatcher
         Chooses replicas and records allocations.
     request : CallerRequest
         Request of the generation.
@@ -71,10 +71,10 @@
     """
 
     def __init__(
-        self, dispatch: RequestDispatcher, request: CallerRequest, merger: EventMerger
+        self, dispatcher: RequestDispatcher, request: CallerRequest, merger: EventMerger
     ) -> None:
-        self._dispatch = dispatch
-        self._placing = dispatch.placer
+        self._dispatcher = dispatcher
+        self._placer = dispatcher.placer
         self._request = request
         self._merger = merger
         self._primary: _ReplicaAllocation | None = None
@@ -83,7 +83,7 @@
         self._shadow_allocation: _ReplicaAllocation | None = None
         # Last shadow copy that was discarded; a transfer to it may still be in progress.
         self._discarded_shadow: ShadowCopy | None = None
-        self._targets = CopyTargets(dispatch, request)
+        self._targets = CopyTargets(dispatcher, request)
         # Monotonic time in seconds at which the primary was found to be leaving; None if it
         # is not.
         self._leaving_since: float | None = None
@@ -131,7 +131,7 @@
     def note_prompt_read(self) -> None:
         """Record that the primary has processed the prompt."""
         assert self._primary is not None
-        self._dispatch.allocations.mark_prompt_read(self._primary.allocation)
+        self._dispatcher.allocations.mark_prompt_read(self._primary.allocation)
 
     def note_progress(self) -> None:
         """Record the memory that the generation takes now and is expected to take at its end.
@@ -166,7 +166,7 @@
 
     def _may_resume_from(self, carrier: _ReplicaAllocation) -> bool:
         """Return whether a generation may resume from a copy."""
-        return self._placing.is_in_service(carrier.replica) and not self._has_restarted(carrier)
+        return self._placer.is_in_service(carrier.replica) and not self._has_restarted(carrier)
 
     async def maintain_copies(self) -> None:
         """Maintain a shadow copy at a replica that stays, until cancelled."""
@@ -186,11 +186,11 @@
 
     def _note_leaving(self) -> bool:
         """Return whether the primary is leaving, and record when this was first found."""
-        if self._placing.stays(self.primary):
+        if self._placer.stays(self.primary):
             self._leaving_since = None
             return False
         if self._leaving_since is None:
-            self._leaving_since = self._dispatch.now()
+            self._leaving_since = self._dispatcher.now()
         return True
 
     def _update_allocations(self) -> None:
@@ -205,14 +205,14 @@
 
     def _may_start_copy(self) -> bool:
         """Return whether a copy of this generation may be started now."""
-        now = self._dispatch.now()
+        now = self._dispatcher.now()
         if now < self._no_copy_before:
             return False
         if self._leaving_since is None:
             # Prevents all generations from starting copies at once at a new replica.
-            return self._dispatch.random_fraction() < COPY_START_PROBABILITY
+            return self._dispatcher.random_fraction() < COPY_START_PROBABILITY
         assert self._primary is not None
-        rank = self._dispatch.copy_order.departure_copy_rank(
+        rank = self._dispatcher.copy_order.departure_copy_rank(
             self._primary.replica, self._primary.allocation
         )
         return now >= self._leaving_since + rank * DEPARTURE_COPY_INTERVAL_S
@@ -223,15 +223,15 @@
         if self._shadow.failed:
             self._note_failed_shadow(self._shadow)
             return False
-        if not self._placing.is_in_service(self._shadow.target):
+        if not self._placer.is_in_service(self._shadow.target):
             return False
         if self._has_restarted(self._shadow_allocation):
             # The copy was lost with the restart.
             return False
-        target_stays = self._placing.stays(self._shadow.target)
+        target_stays = self._placer.stays(self._shadow.target)
         if leaving:
-            self._dispatch.allocations.mark_not_evictable(self._shadow_allocation.allocation)
-            self._dispatch.allocations.expect_resume(
+            self._dispatcher.allocations.mark_not_evictable(self._shadow_allocation.allocation)
+            self._dispatcher.allocations.expect_resume(
                 self._shadow_allocation.allocation, self.primary
             )
             self._shadow.refresh_faster()
@@ -247,7 +247,7 @@
 
     def _has_restarted(self, carrier: _ReplicaAllocation) -> bool:
         """Return whether a replica has restarted since memory was sent there."""
-        return 0 < carrier.born < self._placing.born(carrier.replica)
+        return 0 < carrier.born < self._placer.born(carrier.replica)
 
     def _leaves_with_primary(self, target: Replica) -> bool:
         """Return whether a target leaves too soon after the primary, with time for a new copy.
@@ -255,10 +255,10 @@
         Several replicas may get their shutdown notices at once, and a generation would be
         lost if its primary and its copy are shut down together.
         """
-        if self._placing.stays(target):
+        if self._placer.stays(target):
             return False
-        primary_left_s = self._dispatch.allocations.shutdown_in_s(self.primary)
-        target_left_s = self._dispatch.allocations.shutdown_in_s(target)
+        primary_left_s = self._dispatcher.allocations.shutdown_in_s(self.primary)
+        target_left_s = self._dispatcher.allocations.shutdown_in_s(target)
         if primary_left_s is None or target_left_s is None or primary_left_s < MIN_SHUTDOWN_GAP_S:
             return False
         return target_left_s < primary_left_s + MIN_SHUTDOWN_GAP_S
@@ -268,19 +268,19 @@
         if shadow.move_failure is MoveFailure.NO_ROOM:
             self._targets.avoid(shadow.target)
         elif shadow.move_failure is MoveFailure.NOT_RUNNING:
-            self._no_copy_before = self._dispatch.now() + NOT_RUNNING_DELAY_S
+            self._no_copy_before = self._dispatcher.now() + NOT_RUNNING_DELAY_S
         elif shadow.move_failure is None:
-            self._no_copy_before = self._dispatch.now() + SOURCE_FAILURE_DELAY_S
+            self._no_copy_before = self._dispatcher.now() + SOURCE_FAILURE_DELAY_S
 
     def _must_evict_shadow(self, carrier: _ReplicaAllocation) -> bool:
         """Return whether the shadow copy must be evicted; if so, avoid its replica."""
         carrier.allocation.expected_loss = self._expected_loss()
-        if not self._dispatch.copy_order.must_evict(
+        if not self._dispatcher.copy_order.must_evict(
             self._request.service, carrier.replica, carrier.allocation
         ):
             return False
         self._targets.avoid(carrier.replica)
-        self._dispatch.log.info(
+        self._dispatcher.log.info(
             "copy_gives_way",
             request_id=self._request.request_id,
             target=carrier.replica.name,
@@ -295,9 +295,9 @@
             return False
         if self._discarded_shadow is not None and self._discarded_shadow.move_in_progress:
             return False
-        if self._backup is not None and self._placing.takes_work(self._backup.replica):
+        if self._backup is not None and self._placer.takes_work(self._backup.replica):
             return False
-        if not leaving and self._dispatch.copy_order.departure_copies_due(self._request.service):
+        if not leaving and self._dispatcher.copy_order.departure_copies_due(self._request.service):
             return False
         if leaving:
             return self._is_worth_departure_copy()
@@ -320,12 +320,12 @@
         allocation.expected_loss = self._expected_loss()
         allocation.transfer_pending = True
         self._shadow = ShadowCopy(
-            self._dispatch.adapter,
+            self._dispatcher.adapter,
             self._request.request_id,
             self.primary,
             target,
-            self._dispatch.log,
-            self._dispatch.now,
+            self._dispatcher.log,
+            self._dispatcher.now,
         )
 
     async def _choose_shadow_target(self, leaving: bool) -> Replica | None:
@@ -334,7 +334,7 @@
         return await choose(self.primary, excluded, self._progress().used_tokens)
 
     def _log_shadow(self, target: Replica, leaving: bool) -> None:
-        self._dispatch.log.info(
+        self._dispatcher.log.info(
             "generation_shadowed",
             request_id=self._request.request_id,
             source=self.primary.name,
@@ -342,7 +342,7 @@
             copy=self._backup.replica.name if self._backup else "",
             home_stays=not leaving,
             after_event=self._merger.last_event_number,
-            replicas=self._placing.options.describe(self._request.service, set()),
+            replicas=self._placer.options.describe(self._request.service, set()),
         )
 
     def _drop_shadow(self) -> None:
@@ -367,7 +367,7 @@
 
     def _expected_loss(self) -> int:
         """Return the expected loss of the generation at its primary."""
-        near = self._primary is None or self._placing.reachable.is_near(self._primary.replica)
+        near = self._primary is None or self._placer.reachable.is_near(self._primary.replica)
         return self._progress().expected_loss(near)
 
     async def _choose_backup(
@@ -390,17 +390,17 @@
 
     def _may_be_backup(self, previous: Replica, primary: Replica) -> bool:
         """Return whether the previous primary may be the backup."""
-        if previous.name == primary.name or not self._placing.takes_work(previous):
+        if previous.name == primary.name or not self._placer.takes_work(previous):
             return False
-        return self._placing.reachable.is_near(previous) or self._placing.reachable.is_near(primary)
+        return self._placer.reachable.is_near(previous) or self._placer.reachable.is_near(primary)
 
     def _allocate(
         self, replica: Replica, reads: bool = False, copy: bool = False
     ) -> _ReplicaAllocation:
-        allocation = self._dispatch.allocations.add(self._request, replica, reads, copy)
+        allocation = self._dispatcher.allocations.add(self._request, replica, reads, copy)
         allocation.used_tokens = self._progress().used_tokens
-        return _ReplicaAllocation(replica, allocation, self._placing.born(replica))
+        return _ReplicaAllocation(replica, allocation, self._placer.born(replica))
 
     def _free(self, carrier: _ReplicaAllocation | None) -> None:
         if carrier is not None:
-            self._dispatch.allocations.remove(carrier.replica, carrier.allocation)
+            self._dispatcher.allocations.remove(carrier.replica, carrier.allocation)
--- a/reachlink/requests/_queue_placer.py
+++ b/reachlink/requests/_queue_placer.py
@@ -29,13 +29,13 @@
     ----------
     parts : RunnerParts
         Shared components of the request runner.
-    placing : Placer
+    placer : Placer
         Sends queries to the queue's owner.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placer) -> None:
+    def __init__(self, parts: RunnerParts, placer: Placer) -> None:
         self._parts = parts
-        self._placing = placing
+        self._placer = placer
 
     def uses_queue(self, request: CallerRequest) -> bool:
         """Return whether a request uses the queue if there is no room."""
@@ -65,7 +65,7 @@
             avoid_resuming = may_wait_for_room(request, asked_at)
             # The first reply is not delayed, so that a missing owner is noticed early.
             hold_s = QUEUE_POLL_TIMEOUT_S if queued else 0.0
-            found = await self._placing.place_queued(request, tried, avoid_resuming, hold_s)
+            found = await self._placer.place_queued(request, tried, avoid_resuming, hold_s)
             if isinstance(found, Replica | Refuse):
                 return found
             if found is None and not queued:
@@ -85,8 +85,8 @@
 
     def _waits_for_other_than_room(self, request: CallerRequest, tried: set[str]) -> bool:
         """Return whether a request waits for something other than room."""
-        placing = self._placing
+        placer = self._placer
         return (
-            placing.reachable.obstacle(request) is not None
-            or placing.hold(request, tried) is not None
+            placer.reachable.obstacle(request) is not None
+            or placer.hold(request, tried) is not None
         )
--- a/reachlink/requests/_runner.py
+++ b/reachlink/requests/_runner.py
@@ -25,24 +25,24 @@
 
     def __init__(self, parts: RunnerParts) -> None:
         self._parts = parts
-        self._dispatch = RequestDispatcher(parts)
-        self._whole = WholeRunner(self._dispatch)
-        self._streams = StreamRunner(self._dispatch)
+        self._dispatcher = RequestDispatcher(parts)
+        self._whole = WholeRunner(self._dispatcher)
+        self._streams = StreamRunner(self._dispatcher)
         # Running requests, each by the timeout that ends it at its deadline.
         self._running: dict[asyncio.Timeout, CallerRequest] = {}
 
     @property
     def placer(self) -> Placer:
         """Component that chooses replicas."""
-        return self._dispatch.placer
+        return self._dispatcher.placer
 
     def is_service_unreachable(self, service: str) -> bool:
         """Return whether this zone is cut off and has no replica of a service."""
-        return self._dispatch.placer.reachable.none_reachable(service)
+        return self._dispatcher.placer.reachable.none_reachable(service)
 
     def on_replica_restarted(self, replica: str) -> None:
         """Handle that a replica has restarted under the same name."""
-        self._dispatch.guard.on_replica_restarted(replica)
+        self._dispatcher.guard.on_replica_restarted(replica)
 
     def on_resumed(self) -> None:
         """Handle the end of a suspension of the machine.
@@ -68,7 +68,7 @@
         started = self._parts.clock()
         code = "cancelled"
         scope: asyncio.Timeout | None = None
-        guard = self._dispatch.guard
+        guard = self._dispatcher.guard
         try:
             async with asyncio.timeout(max(0.0, request.deadline - started)) as scope:
                 self._running[scope] = request
--- a/reachlink/requests/_streams.py
+++ b/reachlink/requests/_streams.py
@@ -41,41 +41,41 @@
 
     Parameters
     ----------
-    dispatch : RequestDispatcher
+    dispatcher : RequestDispatcher
         Places and sends requests.
     """
 
-    def __init__(self, dispatch: RequestDispatcher) -> None:
-        self._dispatch = dispatch
+    def __init__(self, dispatcher: RequestDispatcher) -> None:
+        self._dispatcher = dispatcher
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
         """Run one request to its end."""
-        dispatch = self._dispatch
-        attempts = dispatch.retry_policy.begin(request)
+        dispatcher = self._dispatcher
+        attempts = dispatcher.retry_policy.begin(request)
         tried: set[str] = set()
-        while (replica := await dispatch.place_or_wait(request, tried)) is not None:
+        while (replica := await dispatcher.place_or_wait(request, tried)) is not None:
             tried.add(replica.name)
-            failure = await _Stream(dispatch, request, sink).start(replica)
+            failure = await _Stream(dispatcher, request, sink).start(replica)
             if failure is None:
                 return
             if failure is AttemptFailure.LIMITED:
                 tried.discard(replica.name)
-            if not dispatch.retry_policy.may_retry(request, replica, failure, attempts):
+            if not dispatcher.retry_policy.may_retry(request, replica, failure, attempts):
                 break
-        raise dispatch.retry_policy.failure(request, attempts)
+        raise dispatcher.retry_policy.failure(request, attempts)
 
 
 class _Stream:
     """Stream of one generation, which may resume at other replicas."""
 
     def __init__(
-        self, dispatch: RequestDispatcher, request: CallerRequest, sink: AnswerSink
+        self, dispatcher: RequestDispatcher, request: CallerRequest, sink: AnswerSink
     ) -> None:
-        self._dispatch = dispatch
+        self._dispatcher = dispatcher
         self._request = request
         self._sink = sink
         self._merger = EventMerger()
-        self._replicas = GenerationReplicas(dispatch, request, self._merger)
+        self._replicas = GenerationReplicas(dispatcher, request, self._merger)
         self._times = StreamTimes(request.arrived_at)
         self._interval_meter = EventIntervalMeter()
         # Whether the primary had unread prompts when the last event interval was measured.
@@ -96,7 +96,7 @@
         fingerprint = self._request.relay.fingerprint
         try:
             await self._replicas.begin(replica)
-            async with self._dispatch.guard.watched(fingerprint, self._has_sent_no_event):
+            async with self._dispatcher.guard.watched(fingerprint, self._has_sent_no_event):
                 return await self._run()
         except HeldRequestError as error:
             if self._head_sent:
@@ -121,7 +121,7 @@
             return AttemptFailure.BROKEN
         try:
             if answer.head.not_run:
-                return self._dispatch.outcomes.record_refusal(
+                return self._dispatcher.outcomes.record_refusal(
                     self._replicas.primary, answer.head, self._sent_at
                 )
             if answer.head.success and not answer.head.genuine:
@@ -143,9 +143,9 @@
     async def _continue(self) -> bool:
         """Resume at a replica that has a copy; return whether the stream is complete."""
         options = await self._replicas.continuations()
-        options.sort(key=lambda option: self._dispatch.remaining_hold_s(option[0]))
+        options.sort(key=lambda option: self._dispatcher.remaining_hold_s(option[0]))
         for target, memory in options:
-            if not await self._dispatch.wait_for_permit(self._request, target):
+            if not await self._dispatcher.wait_for_permit(self._request, target):
                 self._log_continuation_failed(target, "held back")
                 continue
             answer = await self._continue_at(target, memory)
@@ -163,7 +163,7 @@
         self._moves += 1
         self._no_event_since_move = True
         self._reset_interval()
-        self._dispatch.log.info(
+        self._dispatcher.log.info(
             "stream_continues",
             request_id=self._request.request_id,
             lost=lost.name,
@@ -184,7 +184,7 @@
         return answer
 
     def _log_continuation_failed(self, target: Replica, reason: str) -> None:
-        self._dispatch.log.warning(
+        self._dispatcher.log.warning(
             "continuation_failed",
             request_id=self._request.request_id,
             replica=target.name,
@@ -210,14 +210,14 @@
         if splitter.rest:
             self._on_broken("stream ended within an event")
             return False
-        self._dispatch.outcomes.record_success(self._request, self._replicas.primary)
+        self._dispatcher.outcomes.record_success(self._request, self._replicas.primary)
         return True
 
     async def _write(self, ready: bytes) -> None:
         """Write events to the caller; discard the interval measurement if that takes long."""
-        started_at = self._dispatch.now()
+        started_at = self._dispatcher.now()
         await self._sink.write(ready)
-        if self._dispatch.now() - started_at >= SLOW_WRITE_S:
+        if self._dispatcher.now() - started_at >= SLOW_WRITE_S:
             self._reset_interval()
 
     def _reset_interval(self) -> None:
@@ -242,16 +242,16 @@
         return await read_whole(answer, self._request.caller_buffer)
 
     async def _open(self, replica: Replica, continuation: Continuation | None) -> RelayAnswer:
-        self._sent_at = self._dispatch.now()
+        self._sent_at = self._dispatcher.now()
         self._last_event_when_sent = self._merger.last_event_number
         try:
-            return await self._dispatch.open(
+            return await self._dispatcher.open(
                 self._request, replica, continuation, self._replicas.backup
             )
         except UpstreamHeldBackError:
             raise
         except UpstreamUnreachableError:
-            self._dispatch.outcomes.record_unreachable(replica)
+            self._dispatcher.outcomes.record_unreachable(replica)
             raise
         except UpstreamError:
             self._note_broken(replica)
@@ -259,11 +259,11 @@
 
     def _note_broken(self, replica: Replica) -> None:
         begun = self._merger.last_event_number > self._last_event_when_sent
-        self._dispatch.outcomes.record_broken(self._request, replica, self._sent_at, begun)
+        self._dispatcher.outcomes.record_broken(self._request, replica, self._sent_at, begun)
 
     def _note_pause(self) -> None:
         """Record the pause before an event; log it if it exceeds the limit of the route."""
-        now = self._dispatch.now()
+        now = self._dispatcher.now()
         pause = self._times.note(self._merger.last_event_number, now)
         event_s = self._interval_meter.record(self._merger.last_event_number, now)
         if event_s is not None:
@@ -274,7 +274,7 @@
         longest = self._request.route.event_gap_s
         if not longest or pause <= longest:
             return
-        self._dispatch.log.info(
+        self._dispatcher.log.info(
             "stream_paused",
             request_id=self._request.request_id,
             replica=self._replicas.primary.name,
@@ -287,25 +287,25 @@
         primary = self._replicas.primary
         had_unread_before, self._had_unread_prompts = (
             self._had_unread_prompts,
-            self._dispatch.pace.has_unread_prompts(primary),
+            self._dispatcher.pace.has_unread_prompts(primary),
         )
         if not had_unread_before and not self._had_unread_prompts:
-            self._dispatch.pace.note_event_interval(self._request, primary, event_s)
+            self._dispatcher.pace.note_event_interval(self._request, primary, event_s)
 
     def _log_stream_joined(self, pause_s: float) -> None:
-        self._dispatch.log.info(
+        self._dispatcher.log.info(
             "stream_joined",
             request_id=self._request.request_id,
             replica=self._replicas.primary.name,
             event_number=self._merger.last_event_number,
             pause_ms=round(pause_s * 1000.0),
-            replicas=self._dispatch.placer.options.describe(self._request.service, set()),
+            replicas=self._dispatcher.placer.options.describe(self._request.service, set()),
         )
 
     def _log_delivered(self) -> None:
         """Log the timing of a complete stream beside the objectives of its route."""
         times = self._times
-        self._dispatch.log.info(
+        self._dispatcher.log.info(
             "stream_delivered",
             request_id=self._request.request_id,
             route=self._request.route.name,
@@ -323,10 +323,10 @@
 
     def _on_broken(self, reason: str) -> None:
         replica = self._replicas.primary
-        if not self._dispatch.placer.stays(replica):
-            self._dispatch.allocations.note_gone(replica)
+        if not self._dispatcher.placer.stays(replica):
+            self._dispatcher.allocations.note_gone(replica)
         self._note_broken(replica)
-        self._dispatch.log.warning(
+        self._dispatcher.log.warning(
             "stream_broken",
             request_id=self._request.request_id,
             replica=replica.name,
--- a/reachlink/requests/_waiting_placer.py
+++ b/reachlink/requests/_waiting_placer.py
@@ -29,14 +29,14 @@
     ----------
     parts : RunnerParts
         Shared components of the request runner.
-    placing : Placer
+    placer : Placer
         Chooses a replica without waiting.
     """
 
-    def __init__(self, parts: RunnerParts, placing: Placer) -> None:
+    def __init__(self, parts: RunnerParts, placer: Placer) -> None:
         self._parts = parts
-        self._placing = placing
-        self._line = QueuePlacer(parts, placing)
+        self._placer = placer
+        self._line = QueuePlacer(parts, placer)
         self._log: Any = get_logger()
 
     async def place_or_wait(self, request: CallerRequest, tried: set[str]) -> Replica | None:
@@ -48,15 +48,15 @@
         while True:
             was_whole = parts.directory.is_whole
             avoid_resuming = may_wait_for_room(request, parts.clock())
-            hold = self._placing.hold(request, tried)
+            hold = self._placer.hold(request, tried)
             replica = await self._try_place(request, tried, avoid_resuming, hold)
             if replica is not None:
                 self._log_placed(request, replica)
                 return replica
             pause_s = None
-            if request.refusal is None and self._placing.reachable.obstacle(request) is None:
+            if request.refusal is None and self._placer.reachable.obstacle(request) is None:
                 # The hold may have changed during the placement.
-                hold = self._placing.hold(request, tried) or hold
+                hold = self._placer.hold(request, tried) or hold
                 held_s = hold.remaining_s if hold is not None else None
                 pause_s = poll_delay_s(request, parts.clock(), held_s)
             if pause_s is not None:
@@ -79,7 +79,7 @@
                 request.refusal = found
                 return None
             return found
-        replica = await self._placing.place(request, tried, avoid_resuming)
+        replica = await self._placer.place(request, tried, avoid_resuming)
         if replica is None and hold is not None and hold.reason is HoldReason.LIMIT:
             return await self._place_with_permit(request, tried, avoid_resuming, hold.remaining_s)
         return replica
@@ -106,7 +106,7 @@
         patience_s = max_permit_wait_s(request, parts.clock())
         if left_s >= patience_s:
             return None
-        replica = await self._placing.place(request, tried, avoid_resuming, left_s)
+        replica = await self._placer.place(request, tried, avoid_resuming, left_s)
         if replica is None:
             return None
         try:
@@ -115,7 +115,7 @@
             # Other requests have reserved the permits until after this request's time limit.
             # The next check takes that into account.
             return None
-        if not self._placing.takes_work(replica):
+        if not self._placer.takes_work(replica):
             # The replica was found to be leaving, or its zone was taken out of service.
             return None
         request.relay.admitted = True
@@ -129,11 +129,11 @@
             request_id=request.request_id,
             fingerprint=fingerprint_text(request.relay.fingerprint),
             replica=replica.name,
-            near=self._placing.reachable.is_near(replica),
+            near=self._placer.reachable.is_near(replica),
             need_tokens=need_tokens(request),
             waited_ms=round((self._parts.clock() - request.arrived_at) * 1000.0),
             priority=request.relay.priority,
-            replicas=self._placing.options.describe(request.service, set()),
+            replicas=self._placer.options.describe(request.service, set()),
         )
 
     def _log_no_room(self, request: CallerRequest, tried: set[str]) -> None:
@@ -142,5 +142,5 @@
             request_id=request.request_id,
             need_tokens=need_tokens(request),
             tried=len(tried),
-            replicas=self._placing.options.describe(request.service, tried),
+            replicas=self._placer.options.describe(request.service, tried),
         )
--- a/reachlink/requests/_whole_answers.py
+++ b/reachlink/requests/_whole_answers.py
@@ -27,26 +27,26 @@
 
     Parameters
     ----------
-    dispatch : RequestDispatcher
+    dispatcher : RequestDispatcher
         Places and sends the requests.
     """
 
-    def __init__(self, dispatch: RequestDispatcher) -> None:
-        self._dispatch = dispatch
+    def __init__(self, dispatcher: RequestDispatcher) -> None:
+        self._dispatcher = dispatcher
 
     async def run(self, request: CallerRequest, sink: AnswerSink) -> None:
         """Run one request to its end."""
-        attempts = self._dispatch.retry_policy.begin(request)
+        attempts = self._dispatcher.retry_policy.begin(request)
         tried: set[str] = set()
         fallback: tuple[AnswerHead, bytes] | None = None
-        while (replica := await self._dispatch.place_or_wait(request, tried)) is not None:
+        while (replica := await self._dispatcher.place_or_wait(request, tried)) is not None:
             tried.add(replica.name)
-            allocation = self._dispatch.allocations.add(request, replica)
+            allocation = self._dispatcher.allocations.add(request, replica)
             try:
                 previous_bytes = len(fallback[1]) if fallback is not None else 0
                 result = await self._attempt(request, replica, attempts, previous_bytes)
             finally:
-                self._dispatch.allocations.remove(replica, allocation)
+                self._dispatcher.allocations.remove(replica, allocation)
             if isinstance(result, tuple):
                 # Passed on to the caller if no other replica gives a better answer.
                 fallback = result
@@ -57,12 +57,12 @@
             if result is AttemptFailure.LIMITED:
                 # Other requests used up the permits; the replica may take this one later.
                 tried.discard(replica.name)
-            if not self._dispatch.retry_policy.may_retry(request, replica, result, attempts):
+            if not self._dispatcher.retry_policy.may_retry(request, replica, result, attempts):
                 break
         if fallback is not None:
             await sink.write_whole(*fallback)
             return
-        raise self._dispatch.retry_policy.failure(request, attempts)
+        raise self._dispatcher.retry_policy.failure(request, attempts)
 
     async def _attempt(
         self, request: CallerRequest, replica: Replica, attempts: AttemptLog, previous_bytes: int
@@ -74,39 +74,39 @@
         fingerprint = request.relay.fingerprint
         may_retry = attempts.may_repeat and attempts.sent + 1 < attempts.max_attempts
         timeout_s = request.route.objective_s * SLOW_REPLICA_OBJECTIVES if may_retry else None
-        sent_at = self._dispatch.now()
+        sent_at = self._dispatcher.now()
         try:
             async with (
-                self._dispatch.guard.watched(fingerprint),
+                self._dispatcher.guard.watched(fingerprint),
                 asyncio.timeout(timeout_s) as scope,
             ):
-                answer = await self._dispatch.open(request, replica)
+                answer = await self._dispatcher.open(request, replica)
                 if answer.head.not_run:
                     answer.close()
-                    return self._dispatch.outcomes.record_refusal(replica, answer.head, sent_at)
+                    return self._dispatcher.outcomes.record_refusal(replica, answer.head, sent_at)
                 wait = _BufferWait(scope)
                 body = await read_whole(answer, request.caller_buffer, wait.begin, previous_bytes)
         except UpstreamHeldBackError as error:
             return pacing_failure(error)
         except UpstreamUnreachableError:
-            self._dispatch.outcomes.record_unreachable(replica)
+            self._dispatcher.outcomes.record_unreachable(replica)
             return AttemptFailure.UNREACHABLE
         except UpstreamBrokenError:
-            self._dispatch.outcomes.record_broken(request, replica, sent_at, begun=False)
+            self._dispatcher.outcomes.record_broken(request, replica, sent_at, begun=False)
             return AttemptFailure.BROKEN
         except TimeoutError:
-            self._dispatch.outcomes.record_no_answer(replica)
-            self._dispatch.pace.note_call(request, replica, sent_at)
+            self._dispatcher.outcomes.record_no_answer(replica)
+            self._dispatcher.pace.note_call(request, replica, sent_at)
             return AttemptFailure.SLOW
         if answer.head.success and not answer.head.genuine:
-            self._dispatch.outcomes.record_no_answer(replica)
+            self._dispatcher.outcomes.record_no_answer(replica)
             return AttemptFailure.BROKEN
         if answer.head.status >= SERVER_ERROR:
-            self._dispatch.outcomes.record_failed_answer(request, replica)
+            self._dispatcher.outcomes.record_failed_answer(request, replica)
         else:
-            self._dispatch.outcomes.record_success(request, replica)
+            self._dispatcher.outcomes.record_success(request, replica)
             if not wait.begun:
-                self._dispatch.pace.note_call(request, replica, sent_at)
+                self._dispatcher.pace.note_call(request, replica, sent_at)
         return answer.head, body
 
 
--- a/reachlink/requests/tests/test_cold_rates.py
+++ b/reachlink/requests/tests/test_cold_rates.py
@@ -98,8 +98,8 @@
         requests = [made.request(RequestKind.REPEATABLE) for _ in range(60)]
         for request in requests:
             request.service = service
-        placing = made.runner.placer
-        return [await placing.place(request, set()) for request in requests]
+        placer = made.runner.placer
+        return [await placer.place(request, set()) for request in requests]
 
     found = Counter(replica.name for replica in asyncio.run(scenario()) if replica)
     assert sum(found.values()) == 60
--- a/reachlink/requests/tests/test_permits.py
+++ b/reachlink/requests/tests/test_permits.py
@@ -123,15 +123,15 @@
     setup = world_with_script("a", script=OK)
     (only,) = setup.zones
     limit(setup, 60.0, only)
-    placing = setup.runner.placer
-    answers = [placing.hold]
+    placer = setup.runner.placer
+    answers = [placer.hold]
 
     def hold_until_final_answer(request, tried):
         found = answers[0](request, tried)
         # The final answer checks for a hold once more, with an empty frozenset.
         return None if tried == frozenset() and isinstance(tried, frozenset) else found
 
-    placing.hold = hold_until_final_answer
+    placer.hold = hold_until_final_answer
     with pytest.raises(RequestFailedError) as caught:
         asyncio.run(setup.run(RequestKind.ONCE, objective_s=1.0))
     assert (caught.value.status, caught.value.reason) == (503, "over_limit")
--- a/reachlink/requests/tests/test_refused.py
+++ b/reachlink/requests/tests/test_refused.py
@@ -18,7 +18,7 @@
         request.refusal = refusal
         return None
 
-    setup.runner._dispatch.place_or_wait = place_or_wait
+    setup.runner._dispatcher.place_or_wait = place_or_wait
     with pytest.raises(RequestFailedError) as caught:
         asyncio.run(setup.runner.run(request, FakeSink()))
     return caught.value
--- a/reachlink/requests/tests/test_runner.py
+++ b/reachlink/requests/tests/test_runner.py
@@ -190,7 +190,7 @@
     """Ten replicas of a zone restart; the list of replicas has their old names for some seconds."""
     setup = world_with_script("a " * 10 + "b", script=MISDIRECTED)
     setup.adapter.scripts["p11"] = [OK]
-    setup.runner._dispatch._parts.retry_limits = RetryLimits(share=10.0, burst=20.0)
+    setup.runner._dispatcher._parts.retry_limits = RetryLimits(share=10.0, burst=20.0)
     for _ in range(20):
         assert asyncio.run(setup.run(RequestKind.ONCE, max_attempts=1)).body == b"whole"
         # An outdated list names all of them as present.
@@ -201,7 +201,7 @@
 
 def test_a_misdirected_request_takes_from_the_retry_budget():
     setup = world_with_script("a a", script=MISDIRECTED)
-    parts = setup.runner._dispatch._parts
+    parts = setup.runner._dispatcher._parts
     parts.retry_limits, parts.instance_count = RetryLimits(share=0.0, burst=1.0), lambda: 1
     error = failure_of(setup, RequestKind.ONCE, max_attempts=1)
     assert (error.status, error.outcome) == (503, Outcome.NOT_RUN)
@@ -213,10 +213,10 @@
 def test_callers_in_a_zone_that_is_cut_off_get_a_longer_retry_delay():
     """The load balancer needs more than a second to route callers to other zones."""
     setup = world_with_script("a a", script=NOT_RUN)
-    setup.runner._dispatch._parts.cut_off = lambda: True
+    setup.runner._dispatcher._parts.cut_off = lambda: True
     error = failure_of(setup, RequestKind.ONCE)
     assert (error.reason, error.retry_after_s) == ("not_run", 1.2)
-    setup.runner._dispatch._parts.directory.update([], 1.0)
+    setup.runner._dispatcher._parts.directory.update([], 1.0)
     error = failure_of(setup, RequestKind.ONCE)
     assert (error.reason, error.retry_after_s) == ("zone_cut_off", 1.2)
 
